--- a/asv_bench/admission_overload.py
+++ b/asv_bench/admission_overload.py
@@ -21,7 +21,7 @@
 from asv_bench.admission_servers import SERVICE, SLOTS, Run, Server
 from asv_bench.tables import markdown_table
 from redwingstream.admission.choice import PeerLoads
-from redwingstream.admission.come_back import ComeBack, OverloadGauge
+from redwingstream.admission.come_back import RetryDelays, OverloadGauge
 from redwingstream.admission.limit import ConcurrencyLimit, RunResult
 from redwingstream.errors import ResultCode
 from redwingstream.forwarding.messages import LoadReport
@@ -109,7 +109,7 @@
         def ended(is_answered: bool) -> None:
             now = self._clock.now
             how = RunResult.COMPLETED if is_answered else RunResult.TIMED_OUT
-            self.limit.finished(now - started_at, how, now)
+            self.limit.record_finished(now - started_at, how, now)
             run.done(is_answered)
 
         self.server.start(Run(run.asked_at, ended))
@@ -172,7 +172,7 @@
         self._admission = admission
         self._rate = load * CAPACITY
         self._drawn = random.Random(SEED)
-        self._come_back = ComeBack(self._drawn)
+        self._come_back = RetryDelays(self._drawn)
         self._gauge = OverloadGauge()
 
     def run(self) -> dict:
@@ -204,7 +204,7 @@
         attempt = Attempt(now, attempts)
         run = Run(now, lambda is_answered: self._done(attempt, is_answered))
         if self._place(run):
-            self._gauge.served(now)
+            self._gauge.record_served(now)
             self.clock.after(PATIENCE, lambda: self._give_up(attempt))
         else:
             self._refuse(attempts)
@@ -222,7 +222,7 @@
             self._send(attempt.attempts - 1)
 
     def _refuse(self, attempts: int) -> None:
-        self._gauge.refused(self.clock.now)
+        self._gauge.record_refused(self.clock.now)
         self.tally.refused += self._is_counted
         delay = FIXED_DELAY
         if self._admission is Admission.SPREAD_DELAY:
@@ -253,11 +253,11 @@
 
     def _report(self) -> None:
         for agent, other in itertools.permutations(self.agents, 2):
-            other.peers.reported(agent.report(), self.clock.now)
+            other.peers.handle_report(agent.report(), self.clock.now)
         for agent in self.agents:
             expected = agent.peers.expected_latency(self.clock.now)
             if expected is not None:
-                agent.limit.expect(expected)
+                agent.limit.set_expected_latency(expected)
         self.clock.after(REPORT_INTERVAL, self._report)
 
     def _row(self) -> dict:
@@ -277,7 +277,7 @@
                 arrivals[second] for second in range(CROWD_AT + 1, DURATION)
             ),
             'servers fallen over': sum(
-                agent.server.falls for agent in self.agents
+                agent.server.overloads for agent in self.agents
             ),
         }
 
--- a/asv_bench/admission_share.py
+++ b/asv_bench/admission_share.py
@@ -48,7 +48,7 @@
             took = drawn.expovariate(1 / mean) if is_random else mean
             heapq.heappush(ends, (now + took, took))
         now, latency = heapq.heappop(ends)
-        limit.finished(latency, RunResult.COMPLETED, now)
+        limit.record_finished(latency, RunResult.COMPLETED, now)
     return MOST_REQUESTS
 
 
--- a/asv_bench/memory.py
+++ b/asv_bench/memory.py
@@ -159,7 +159,7 @@
     """Return the load reports of an agent's peers."""
     loads = PeerLoads(random.Random(1))
     for number in range(size):
-        loads.reported(LoadReport(f'host-{number}', 1, 0, 8, 0), 0)
+        loads.handle_report(LoadReport(f'host-{number}', 1, 0, 8, 0), 0)
     return loads
 
 
--- a/asv_bench/packet_decisions.py
+++ b/asv_bench/packet_decisions.py
@@ -13,10 +13,13 @@
 from asv_bench import fitting, output
 from redwingstream.directory.messages import Readiness
 from redwingstream.directory.view import Agent, AgentView
-from redwingstream.packets.bounded import BoundedTable
+from redwingstream.packets.bounded_table import BoundedTable
 from redwingstream.packets.envelopes import Envelope, Kind
 from redwingstream.packets.flow import Address, address_of
-from redwingstream.packets.steering import MAX_HINTS, Steering
+from redwingstream.packets.balancer_forwarder import (
+    MAX_HINTS,
+    BalancerForwarder,
+)
 from redwingstream.packets.tests.codec import OPENING, PlainCodec
 from redwingstream.packets.tests.codec import Packet as PlainPacket
 from redwingstream.tables.rows import Pool, Route
@@ -86,14 +89,14 @@
     report.finish(flags.json)
 
 
-def _teach(steering: Steering, packet: bytes) -> None:
-    steering.take(Envelope(Kind.CARRIED, packet, best=OWN), OWN, 0)
+def _teach(steering: BalancerForwarder, packet: bytes) -> None:
+    steering.handle_envelope(Envelope(Kind.CARRIED, packet, best=OWN), OWN, 0)
 
 
-def _timed(packets: list[bytes], steering: Steering) -> float:
+def _timed(packets: list[bytes], steering: BalancerForwarder) -> float:
     started = time.perf_counter()
     for packet in packets:
-        steering.take_packet(packet, 0)
+        steering.handle_packet(packet, 0)
     return (time.perf_counter() - started) / len(packets) * MICRO
 
 
@@ -103,7 +106,7 @@
     return PlainPacket(caller, SERVICE, 1, 1, size=4, flags=flags).pack()
 
 
-def _steering(pool_size: int) -> Steering:
+def _steering(pool_size: int) -> BalancerForwarder:
     view = AgentView()
     view.replace_all(
         Agent(
@@ -116,8 +119,8 @@
         )
         for number in range(pool_size)
     )
-    steering = Steering(OWN, 'zone-0', PlainCodec(), view, _ignore, 15)
-    steering.go_by(
+    steering = BalancerForwarder(OWN, 'zone-0', PlainCodec(), view, _ignore, 15)
+    steering.apply_tables(
         Tables(1, {ROUTE.key: ROUTE}, {POOL: Pool(POOL, ('*',))}),
         {SERVICE: ROUTE},
     )
--- a/asv_bench/packet_forwarding.py
+++ b/asv_bench/packet_forwarding.py
@@ -17,10 +17,10 @@
 from asv_bench import fitting, output
 from redwingstream.directory.view import AgentView
 from redwingstream.endpoints import Endpoint
-from redwingstream.fleet.sending import Outlet
+from redwingstream.fleet.packet_sender import PacketSender
 from redwingstream.openings.gate import Gate
 from redwingstream.openings.pacing import ColdLimit
-from redwingstream.packets.carrying import Carrying
+from redwingstream.packets.agent_forwarder import AgentForwarder
 from redwingstream.packets.envelopes import (
     Envelope,
     Kind,
@@ -28,9 +28,9 @@
     unpack_envelope,
 )
 from redwingstream.packets.flow import PacketCodec, address_of
-from redwingstream.packets.flowbook import Carried, FlowBook, Standing
-from redwingstream.packets.site import Place, Site
-from redwingstream.packets.steering import Steering
+from redwingstream.packets.agent_flows import CarriedFlow, AgentFlows, FlowState
+from redwingstream.packets.agent_context import AgentLocation, AgentContext
+from redwingstream.packets.balancer_forwarder import BalancerForwarder
 from redwingstream.tables.rows import Pool, Route
 from redwingstream.tables.snapshot import Tables
 from redwingstream.wire.datagrams import BATCH, DatagramSocket, Receiver
@@ -132,7 +132,7 @@
     inbound = [_packet(number, size) for number in range(FLOWS)]
     outbound = [_packet(number, size, is_back=True) for number in range(FLOWS)]
     peer = address_of(sink.host, sink.port)
-    outlet = Outlet(sink.port, sink)
+    outlet = PacketSender(sink.port, sink)
     outlet.attach(callers=reading, peers=reading)
     yield 'bare forwarder', _bare(reading, sink), inbound
     yield 'balancer, by hint', _balancer(codec, outlet, inbound, peer), inbound
@@ -151,44 +151,48 @@
 
 
 def _balancer(
-    codec: PacketCodec, outlet: Outlet, packets: list[bytes], peer: int
+    codec: PacketCodec, outlet: PacketSender, packets: list[bytes], peer: int
 ) -> Receiver:
-    steering = Steering(OWN, 'z0', codec, AgentView(), _ignore, 15)
+    steering = BalancerForwarder(OWN, 'z0', codec, AgentView(), _ignore, 15)
     tables = Tables(1, {ROUTE.key: ROUTE}, {POOL: Pool(POOL, ('*',))})
-    steering.go_by(tables, {address_of(SERVICE.host, SERVICE.port): ROUTE})
+    steering.apply_tables(
+        tables, {address_of(SERVICE.host, SERVICE.port): ROUTE}
+    )
     for packet in packets:
-        steering.take(Envelope(Kind.CARRIED, packet, best=peer), OWN, 0)
+        steering.handle_envelope(
+            Envelope(Kind.CARRIED, packet, best=peer), OWN, 0
+        )
     return lambda packet, source: outlet.send_all(
-        steering.take_packet(packet, 0)
+        steering.handle_packet(packet, 0)
     )
 
 
-def _carrying(codec: PacketCodec, packets: list[bytes]) -> Carrying:
-    site = Site(
-        Place(OWN, 'z0', POOL),
+def _carrying(codec: PacketCodec, packets: list[bytes]) -> AgentForwarder:
+    site = AgentContext(
+        AgentLocation(OWN, 'z0', POOL),
         codec,
         Gate(ColdLimit(1, 5), 1, 0),
         AgentView(),
-        FlowBook(15),
+        AgentFlows(15),
         _ignore,
     )
     for packet in packets:
         flow = codec.read(packet).inbound
         opening = Envelope(Kind.OPENING, packet)
-        carried = Carried(flow, opening, Standing.ESTABLISHED, 0)
+        carried = CarriedFlow(flow, opening, FlowState.ESTABLISHED, 0)
         site.flows.add(carried, 0)
-    return Carrying(site, 0)
+    return AgentForwarder(site, 0)
 
 
-def _to_server(carrying: Carrying, outlet: Outlet) -> Receiver:
+def _to_server(carrying: AgentForwarder, outlet: PacketSender) -> Receiver:
     return lambda datagram, source: outlet.send_all(
-        carrying.take(unpack_envelope(datagram), OWN, 0)
+        carrying.handle_envelope(unpack_envelope(datagram), OWN, 0)
     )
 
 
-def _to_caller(carrying: Carrying, outlet: Outlet) -> Receiver:
+def _to_caller(carrying: AgentForwarder, outlet: PacketSender) -> Receiver:
     return lambda packet, source: outlet.send_all(
-        carrying.take_from_server(packet, 0)
+        carrying.handle_server_packet(packet, 0)
     )
 
 
--- a/asv_bench/wait_queue.py
+++ b/asv_bench/wait_queue.py
@@ -124,9 +124,11 @@
         self._running -= 1
         if self._is_measured(request):
             self.answered += 1
-        self._limit.finished(request.run_time, RunResult.COMPLETED, self.now)
+        self._limit.record_finished(
+            request.run_time, RunResult.COMPLETED, self.now
+        )
         if self._room is not None:
-            self._room.serve(self.now)
+            self._room.admit_waiting(self.now)
 
     def _refuse(self, request: _Request) -> None:
         if self._is_measured(request):
@@ -134,8 +136,8 @@
 
     def _tick(self) -> None:
         if self._room is not None:
-            self._room.serve(self.now)
-            self._room.expire(self.now)
+            self._room.admit_waiting(self.now)
+            self._room.refuse_expired(self.now)
 
     def _is_measured(self, request: _Request) -> bool:
         return request.arrived_at >= WARM_UP
--- a/properties/test_admission.py
+++ b/properties/test_admission.py
@@ -60,7 +60,7 @@
     def server_restarts(self):
         """It announces itself again; what it was running is lost."""
         for _, latency in self.ends:
-            self.limit.finished(latency, RunResult.TIMED_OUT, self.now)
+            self.limit.record_finished(latency, RunResult.TIMED_OUT, self.now)
         self.ends.clear()
         self.server.running = 0
         self.server.completed = 0
@@ -74,7 +74,7 @@
         when, latency = heapq.heappop(self.ends)
         self.now = when
         self.server.finish()
-        self.limit.finished(latency, RunResult.COMPLETED, self.now)
+        self.limit.record_finished(latency, RunResult.COMPLETED, self.now)
 
 
 class FeedMachine(RuleBasedStateMachine):
@@ -94,18 +94,18 @@
     def callers_register(self, count, is_answered):
         for _ in range(count):
             if self.feeds.try_open(self.now) and is_answered:
-                self.feeds.opened()
-        self.most_carried = max(self.most_carried, self.feeds.open_feeds)
+                self.feeds.record_opened()
+        self.most_carried = max(self.most_carried, self.feeds.open_count)
 
     @rule()
     def registration_fails(self):
-        if self.feeds.opening:
-            self.feeds.failed()
+        if self.feeds.opening_count:
+            self.feeds.record_failed()
 
     @rule()
     def feed_ends(self):
-        if self.feeds.open_feeds:
-            self.feeds.closed()
+        if self.feeds.open_count:
+            self.feeds.record_closed()
 
     @rule()
     def server_restarts(self):
@@ -114,12 +114,12 @@
 
     @rule()
     def server_turns_cold(self):
-        self.feeds.turned_cold(self.now)
+        self.feeds.reset_to_cold(self.now)
 
     @invariant()
     def limit_grows_on_evidence_only(self):
         assert self.feeds.limit <= max(COLD_FEEDS, 2 * self.most_carried)
-        assert self.feeds.open_feeds + self.feeds.opening <= 100
+        assert self.feeds.open_count + self.feeds.opening_count <= 100
 
 
 TestConcurrency = ConcurrencyMachine.TestCase
--- a/redwingstream/admission/choice.py
+++ b/redwingstream/admission/choice.py
@@ -65,7 +65,7 @@
         self._rng = rng
         self._by_host: dict[str, _Peer] = {}
 
-    def reported(self, report: LoadReport, now: float) -> None:
+    def handle_report(self, report: LoadReport, now: float) -> None:
         """Take a report, unless it is from an earlier run of its agent.
 
         Parameters
@@ -149,7 +149,7 @@
         ]
         return statistics.median(latencies) if latencies else None
 
-    def choose_for_established(
+    def choose_for_open_feed(
         self, exclude: frozenset[str], now: float
     ) -> str | None:
         """Return the host with the fewest feeds that takes work at all.
--- a/redwingstream/admission/come_back.py
+++ b/redwingstream/admission/come_back.py
@@ -27,7 +27,7 @@
 _WIDTH_PER_OVERLOAD = 4
 
 
-class ComeBack:
+class RetryDelays:
     """Draws the delays.
 
     Parameters
@@ -94,12 +94,12 @@
         self._refused = float(0)
         self._updated_at = -math.inf
 
-    def served(self, now: float) -> None:
+    def record_served(self, now: float) -> None:
         """Count a request that was let through."""
         self._fade(now)
         self._served += 1
 
-    def refused(self, now: float) -> None:
+    def record_refused(self, now: float) -> None:
         """Count a request that was refused."""
         self._fade(now)
         self._refused += 1
--- a/redwingstream/admission/feeds.py
+++ b/redwingstream/admission/feeds.py
@@ -40,24 +40,24 @@
 
     def __init__(self, ceiling: int) -> None:
         self.limit = min(COLD_FEEDS, ceiling)
-        self.open_feeds = 0
-        self.opening = 0
+        self.open_count = 0
+        self.opening_count = 0
         self._ceiling = ceiling
         self._evidence = 0
         self._is_draining = False
         self._permits = float(1)
         self._permits_at = -math.inf
 
-    def vacancies(self) -> int:
+    def remaining_feeds(self) -> int:
         """Return how many feeds more there may be, whatever the pace."""
         if self._is_draining:
             return 0
-        return max(0, self.limit - self.open_feeds - self.opening)
+        return max(0, self.limit - self.open_count - self.opening_count)
 
-    def room(self, now: float) -> int:
+    def available_registrations(self, now: float) -> int:
         """Return how many registrations :meth:`try_open` would let through."""
         self._refill(now)
-        return min(self.vacancies(), int(self._permits))
+        return min(self.remaining_feeds(), int(self._permits))
 
     def try_open(self, now: float) -> bool:
         """Begin a registration if limit and pace allow it.
@@ -74,36 +74,36 @@
             registration of one's own again later.
         """
         self._refill(now)
-        taken = self.open_feeds + self.opening
+        taken = self.open_count + self.opening_count
         if self._is_draining or taken >= self.limit or self._permits < 1:
             return False
         self._permits -= 1
-        self.opening += 1
+        self.opening_count += 1
         return True
 
-    def opened(self) -> None:
+    def record_opened(self) -> None:
         """Take the server's consent to a registration."""
-        self.opening -= 1
-        self.open_feeds += 1
+        self.opening_count -= 1
+        self.open_count += 1
         self._evidence += 1
-        is_used = self.open_feeds >= self.limit
+        is_used = self.open_count >= self.limit
         if is_used and self._evidence >= self.limit * _EVIDENCE_FRACTION:
             self.limit = min(_GROWTH * self.limit, self._ceiling)
             self._evidence = 0
 
-    def failed(self) -> None:
+    def record_failed(self) -> None:
         """Take a refusal or a timeout of a registration.
 
         The limit goes back to what the server carries: none of those is
         closed, and growth needs evidence anew.
         """
-        self.opening -= 1
-        self.limit = max(min(COLD_FEEDS, self._ceiling), self.open_feeds)
+        self.opening_count -= 1
+        self.limit = max(min(COLD_FEEDS, self._ceiling), self.open_count)
         self._evidence = 0
 
-    def closed(self) -> None:
+    def record_closed(self) -> None:
         """Note that a feed has ended."""
-        self.open_feeds -= 1
+        self.open_count -= 1
 
     def server_restarted(self, now: float) -> None:
         """Begin with nothing open: the server has forgotten all its feeds.
@@ -111,11 +111,11 @@
         Registrations without an answer are void; their owner reports neither
         :meth:`opened` nor :meth:`failed` for them any more.
         """
-        self.open_feeds = 0
-        self.opening = 0
-        self.turned_cold(now)
+        self.open_count = 0
+        self.opening_count = 0
+        self.reset_to_cold(now)
 
-    def turned_cold(self, now: float) -> None:
+    def reset_to_cold(self, now: float) -> None:
         """Give the least to a server that is cold again; open feeds stay."""
         self.limit = min(COLD_FEEDS, self._ceiling)
         self._evidence = 0
@@ -129,7 +129,7 @@
     def resume(self, now: float) -> None:
         """Take feeds again, as from a server that is cold."""
         self._is_draining = False
-        self.turned_cold(now)
+        self.reset_to_cold(now)
 
     def _refill(self, now: float) -> None:
         # Permits saved up while nothing was opened are bounded by one second's
--- a/redwingstream/admission/limit.py
+++ b/redwingstream/admission/limit.py
@@ -79,7 +79,7 @@
         """Seconds that a request takes; None before the first answer."""
         return self._warmth.reference.mean
 
-    def expect(self, latency: float) -> None:
+    def set_expected_latency(self, latency: float) -> None:
         """Take the latency of warm servers of the pool, if none is known.
 
         Parameters
@@ -90,7 +90,7 @@
         if self._warmth.reference.mean is None:
             self._warmth = Warmth(latency)
 
-    def has_room(self, now: float) -> bool:
+    def can_start(self, now: float) -> bool:
         """Whether a run may start now."""
         if now < self._paused_until:
             return False
@@ -118,12 +118,12 @@
         bool
             False means: refuse at once, nothing is held back.
         """
-        if not self.has_room(now):
+        if not self.can_start(now):
             return False
         self._runs.start(now)
         return True
 
-    def finished(
+    def record_finished(
         self, latency: float, run_result: RunResult, now: float
     ) -> None:
         """End a run that :meth:`try_start` has let through.
--- a/redwingstream/admission/retry_budget.py
+++ b/redwingstream/admission/retry_budget.py
@@ -29,7 +29,7 @@
         self._reserve = reserve
         self._earned = reserve
 
-    def fresh(self) -> None:
+    def record_request(self) -> None:
         """Count a request sent for the first time."""
         self._earned = min(self._reserve, self._earned + self._fraction)
 
--- a/redwingstream/admission/tests/fake_server.py
+++ b/redwingstream/admission/tests/fake_server.py
@@ -132,4 +132,4 @@
     def _complete(self, latency: float) -> None:
         self.server.finish()
         self.answered += 1
-        self.limit.finished(latency, RunResult.COMPLETED, self.now)
+        self.limit.record_finished(latency, RunResult.COMPLETED, self.now)
--- a/redwingstream/admission/tests/test_choice.py
+++ b/redwingstream/admission/tests/test_choice.py
@@ -12,7 +12,7 @@
 def peers(**in_flight_by_host) -> PeerLoads:
     loads = PeerLoads(random.Random(1))
     for host, in_flight in in_flight_by_host.items():
-        loads.reported(LoadReport(host, 1, in_flight, 3, 0), now=0)
+        loads.handle_report(LoadReport(host, 1, in_flight, 3, 0), now=0)
     return loads
 
 
@@ -27,18 +27,18 @@
 
     def test_stale_cold_draining_and_full_hosts_are_no_choice(self):
         loads = peers(full1=3)
-        loads.reported(LoadReport('cold1', 1, 0, 1, 0), now=0)
-        loads.reported(LoadReport('draining1', 1, 0, 0, 0), now=0)
+        loads.handle_report(LoadReport('cold1', 1, 0, 1, 0), now=0)
+        loads.handle_report(LoadReport('draining1', 1, 0, 0, 0), now=0)
         assert loads.choose(NOBODY, now=0) is None
-        loads.reported(LoadReport('warm1', 1, 0, 2, 0), now=0)
+        loads.handle_report(LoadReport('warm1', 1, 0, 2, 0), now=0)
         assert loads.choose(NOBODY, now=0) == 'warm1'
         assert loads.choose(NOBODY, now=REPORT_EXPIRY + 1) is None
 
     def test_cold_host_with_room_is_the_choice_while_all_are_cold(self):
         loads = PeerLoads(random.Random(1))
-        loads.reported(LoadReport('cold1', 1, 0, 1, 0), now=0)
-        loads.reported(LoadReport('busy1', 1, 1, 1, 0), now=0)
-        loads.reported(LoadReport('draining1', 1, 0, 0, 0), now=0)
+        loads.handle_report(LoadReport('cold1', 1, 0, 1, 0), now=0)
+        loads.handle_report(LoadReport('busy1', 1, 1, 1, 0), now=0)
+        loads.handle_report(LoadReport('draining1', 1, 0, 0, 0), now=0)
         assert loads.choose(NOBODY, now=0) == 'cold1'
         assert loads.choose(NOBODY, now=0) is None
         assert loads.choose(NOBODY, now=REPORT_EXPIRY + 1) is None
@@ -57,9 +57,9 @@
     def test_report_that_cannot_know_of_what_was_sent(self):
         loads = peers(carse1=2)
         assert loads.choose(NOBODY, now=0.1) == 'carse1'
-        loads.reported(LoadReport('carse1', 1, 2, 3, 0), now=0.11)
+        loads.handle_report(LoadReport('carse1', 1, 2, 3, 0), now=0.11)
         assert loads.choose(NOBODY, now=0.11) is None
-        loads.reported(LoadReport('carse1', 1, 2, 3, 0), now=0.3)
+        loads.handle_report(LoadReport('carse1', 1, 2, 3, 0), now=0.3)
         assert loads.choose(NOBODY, now=0.3) == 'carse1'
 
     def test_what_has_ended_counts_no_more(self):
@@ -70,8 +70,8 @@
 
     def test_report_of_an_earlier_run_is_not_taken(self):
         loads = PeerLoads(random.Random(1))
-        loads.reported(LoadReport('carse1', 2, 0, 0, 0), now=0)
-        loads.reported(LoadReport('carse1', 1, 0, 3, 0), now=0)
+        loads.handle_report(LoadReport('carse1', 2, 0, 0, 0), now=0)
+        loads.handle_report(LoadReport('carse1', 1, 0, 3, 0), now=0)
         assert loads.choose(NOBODY, now=0) is None
 
     def test_forgotten_host_is_no_choice(self):
@@ -90,14 +90,14 @@
             ('unknown1', 3, 0),
         ):
             report = LoadReport(host, 1, 0, limit, 0, latency)
-            loads.reported(report, now=0)
+            loads.handle_report(report, now=0)
         assert loads.expected_latency(now=0) == 7
 
     def test_two_choices_are_more_even_than_one(self):
         names = {f'host{number}': 0 for number in range(20)}
         loads = PeerLoads(random.Random(1))
         for host in names:
-            loads.reported(LoadReport(host, 1, 0, 100, 0), now=0)
+            loads.handle_report(LoadReport(host, 1, 0, 100, 0), now=0)
         chosen = Counter(loads.choose(NOBODY, now=0) for _ in range(1000))
         one = random.Random(1).choices(sorted(names), k=1000)
         assert max(chosen.values()) <= 54 < max(Counter(one).values())
--- a/redwingstream/admission/tests/test_come_back.py
+++ b/redwingstream/admission/tests/test_come_back.py
@@ -8,7 +8,7 @@
 from redwingstream.admission.come_back import (
     LONGEST,
     SHORTEST,
-    ComeBack,
+    RetryDelays,
     OverloadGauge,
 )
 from redwingstream.admission.retry_budget import RETRY_RESERVE, RetryBudget
@@ -28,7 +28,7 @@
     @pytest.mark.parametrize('reason', REASONS)
     @pytest.mark.parametrize('overload', [0, 1, 4, 1e9])
     def test_delays_are_bounded(self, reason, overload):
-        come_back = ComeBack(random.Random(2))
+        come_back = RetryDelays(random.Random(2))
         delays = {come_back.delay(reason, overload) for _ in range(500)}
         assert min(delays) >= SHORTEST
         assert max(delays) <= LONGEST
@@ -40,7 +40,7 @@
         1,000 callers are refused in one second and told the same delay.
         Cause: come-back times computed from load alone.
         """
-        come_back = ComeBack(random.Random(2))
+        come_back = RetryDelays(random.Random(2))
         delays = Counter(
             come_back.delay(ResultCode.OVERLOADED, overload=9)
             for _ in range(1000)
@@ -53,15 +53,15 @@
     def test_refused_for_each_served(self):
         gauge = OverloadGauge()
         for _ in range(10):
-            gauge.served(0)
+            gauge.record_served(0)
         for _ in range(40):
-            gauge.refused(0)
+            gauge.record_refused(0)
         assert gauge.overload(0) == pytest.approx(4)
 
     def test_the_past_fades(self):
         gauge = OverloadGauge(half_life=5)
         for _ in range(40):
-            gauge.refused(0)
+            gauge.record_refused(0)
         assert gauge.overload(10) == pytest.approx(10)
 
 
@@ -75,12 +75,12 @@
         budget = RetryBudget()
         retried = 0
         for _ in range(1000):
-            budget.fresh()
+            budget.record_request()
             retried += budget.try_retry()
         assert retried <= 100 + RETRY_RESERVE
 
     def test_quiet_time_saves_up_no_more_than_the_reserve(self):
         budget = RetryBudget()
         for _ in range(1000):
-            budget.fresh()
+            budget.record_request()
         assert sum(budget.try_retry() for _ in range(100)) == RETRY_RESERVE
--- a/redwingstream/admission/tests/test_feeds.py
+++ b/redwingstream/admission/tests/test_feeds.py
@@ -9,7 +9,7 @@
     """Open so many feeds as fast as it is allowed; return when done."""
     while count:
         if feeds.try_open(now):
-            feeds.opened()
+            feeds.record_opened()
             count -= 1
         else:
             now += STEP
@@ -33,13 +33,13 @@
         feeds = FeedLimit(2000)
         now = register(feeds, 2000, now=0)
         feeds.server_restarted(now)
-        assert feeds.open_feeds == 0
+        assert feeds.open_count == 0
         assert register(feeds, COLD_FEEDS, now) - now > 3
 
     def test_feeds_without_consent_do_not_raise_the_limit(self):
         feeds = FeedLimit(2000)
         now = float(0)
-        while feeds.opening < COLD_FEEDS:
+        while feeds.opening_count < COLD_FEEDS:
             feeds.try_open(now)
             now += STEP
         assert not feeds.try_open(now + 100)
@@ -50,16 +50,16 @@
         now = register(feeds, 50, now=0)
         assert feeds.limit == 64
         assert feeds.try_open(now + 1)
-        feeds.failed()
+        feeds.record_failed()
         assert feeds.limit == 50
-        assert feeds.open_feeds == 50
+        assert feeds.open_count == 50
         assert not feeds.try_open(now + 2)
 
     def test_cold_server_keeps_its_open_feeds(self):
         feeds = FeedLimit(2000)
         now = register(feeds, 50, now=0)
-        feeds.turned_cold(now)
-        assert feeds.open_feeds == 50
+        feeds.reset_to_cold(now)
+        assert feeds.open_count == 50
         assert not feeds.try_open(now + 9)
 
     def test_no_burst_after_a_pause(self):
@@ -78,5 +78,5 @@
         feeds = FeedLimit(3)
         now = register(feeds, 3, now=0)
         assert not feeds.try_open(now + 1)
-        feeds.closed()
+        feeds.record_closed()
         assert feeds.try_open(now + 2)
--- a/redwingstream/admission/tests/test_limit.py
+++ b/redwingstream/admission/tests/test_limit.py
@@ -34,7 +34,7 @@
         """End the oldest run when it has taken so long."""
         started_at = self.starts.pop(0)
         self.now = max(self.now, started_at + latency)
-        self.limit.finished(self.now - started_at, how, self.now)
+        self.limit.record_finished(self.now - started_at, how, self.now)
 
     def start(self) -> None:
         """Start one run."""
@@ -129,7 +129,7 @@
                 server.start(now)
             now += latency
             server.finish()
-            limit.finished(latency, RunResult.COMPLETED, now)
+            limit.record_finished(latency, RunResult.COMPLETED, now)
         assert not server.has_fallen
 
     @pytest.mark.parametrize('warm_up', [20, 38, 60])
@@ -209,8 +209,8 @@
 
     def test_latency_of_peers_is_taken_while_none_is_known(self):
         driver = Driver(2)
-        driver.limit.expect(LATENCY)
-        driver.limit.expect(8 * LATENCY)
+        driver.limit.set_expected_latency(LATENCY)
+        driver.limit.set_expected_latency(8 * LATENCY)
         driver.complete(FIRST_EVIDENCE - 1, latency=8 * LATENCY)
         assert driver.limit.limit == COLD_LIMIT
 
--- a/redwingstream/admission/tests/test_silent_cold.py
+++ b/redwingstream/admission/tests/test_silent_cold.py
@@ -29,7 +29,7 @@
             when, latency = heapq.heappop(self.ends)
             self.now = when
             self.server.finish()
-            self.limit.finished(latency, RunResult.COMPLETED, self.now)
+            self.limit.record_finished(latency, RunResult.COMPLETED, self.now)
 
 
 class TestSilentCold:
--- a/redwingstream/agent/assigned.py
+++ b/redwingstream/agent/assigned.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from redwingstream.agent.carrier import Carrier
+from redwingstream.agent.carrier import RequestExecutor
 from redwingstream.agent.feeds import FeedRelay
 from redwingstream.agent.parts import REPLAY_HORIZON, AgentParts
 from redwingstream.agent.replies import Replies
@@ -33,7 +33,7 @@
     end: RunEnd | None = None
 
 
-class AssignedRequests:
+class IncomingAssignments:
     """Runs what homes assign, each non-idempotent request once.
 
     Parameters
@@ -52,7 +52,7 @@
         self,
         parts: AgentParts,
         replies: Replies,
-        carrier: Carrier,
+        carrier: RequestExecutor,
         feeds: FeedRelay,
     ) -> None:
         self._parts = parts
@@ -64,7 +64,7 @@
     def take(self, assigned: Assigned, now: float) -> None:
         """Take an assignment, or its repetition."""
         self._parts.paths.heard(assigned.packet.balancer, now)
-        if assigned.carrier_incarnation != self._parts.me.incarnation:
+        if assigned.carrier_incarnation != self._parts.identity.incarnation:
             # What the former run did is not known here: running it now could
             # be a second run.
             self._parts.metrics.count('assigned_to_former_run')
@@ -81,7 +81,7 @@
         else:
             self._take_plain(assigned, request, now)
 
-    def ended(self, end: RunEnd, now: float) -> None:
+    def report_end(self, end: RunEnd, now: float) -> None:
         """Tell the home how an assigned request ended."""
         known = self._known.get(end.run.identity)
         if known is not None:
@@ -89,7 +89,7 @@
         self._tell(end.run.home, end)
         self._tell_other_home(end)
 
-    def follow(self, now: float) -> None:
+    def notify_new_homes(self, now: float) -> None:
         """Tell new homes how requests ended that former ones assigned.
 
         Guards against a home that is lost before it hears an outcome: replays
@@ -99,7 +99,7 @@
             if known.end is not None and now - known.since < RETOLD_FOR:
                 self._tell_other_home(known.end)
 
-    def expire(self, now: float) -> None:
+    def evict_expired(self, now: float) -> None:
         """Forget assignments that no home repeats any more."""
         while self._known:
             identity, known = next(iter(self._known.items()))
@@ -125,7 +125,7 @@
         packet = assigned.packet
         record = FlowRecord(
             key=FlowKey(packet.caller, packet.service, request.token),
-            carrier=self._parts.me.carrier,
+            carrier=self._parts.identity.carrier,
             generation=assigned.generation,
             registration=packet.payload,
         )
@@ -164,7 +164,7 @@
     def _refuse_once(self, run: Run, now: float) -> None:
         request = run.request
         answer = self._replies.not_run(request, ResultCode.OVERLOADED, now)
-        self.ended(RunEnd(run, RequestState.NOT_RUN, answer), now)
+        self.report_end(RunEnd(run, RequestState.NOT_RUN, answer), now)
 
     def _refuse_plain(self, run: Run, now: float) -> None:
         overloaded = ResultCode.OVERLOADED
--- a/redwingstream/agent/assignments.py
+++ b/redwingstream/agent/assignments.py
@@ -23,7 +23,7 @@
     copies: int = 1
 
 
-class Assignments:
+class OutgoingAssignments:
     """Runs at other agents, repeated until their outcome comes.
 
     Parameters
@@ -46,16 +46,16 @@
         """Return how many outcomes are awaited."""
         return len(self._assignment_by_identity)
 
-    def choose(self, now: float) -> str:
+    def choose_carrier(self, now: float) -> str:
         """Return a carrier with room, or an empty text."""
-        exclude = frozenset((self._parts.me.host,))
+        exclude = frozenset((self._parts.identity.host,))
         return self._carrier_at(self._parts.loads.choose(exclude, now))
 
-    def choose_for_established(self, now: float) -> str:
+    def choose_carrier_for_open_feed(self, now: float) -> str:
         """Return a carrier for a feed that goes on, with or without room."""
-        exclude = frozenset((self._parts.me.host,))
+        exclude = frozenset((self._parts.identity.host,))
         loads = self._parts.loads
-        return self._carrier_at(loads.choose_for_established(exclude, now))
+        return self._carrier_at(loads.choose_for_open_feed(exclude, now))
 
     def start(self, run: Run, carrier: str, now: float) -> None:
         """Have a carrier run a request."""
@@ -63,7 +63,7 @@
         incarnation = int(carrier.rpartition('#')[2])
         message = Assigned(
             packet=run.packet,
-            home=self._parts.me.endpoint,
+            home=self._parts.identity.endpoint,
             generation=0,
             carrier_incarnation=incarnation,
             wants_outcome=True,
--- a/redwingstream/agent/carrier.py
+++ b/redwingstream/agent/carrier.py
@@ -7,7 +7,7 @@
 from aiocoap.message import Message
 
 from redwingstream.admission.limit import RunResult
-from redwingstream.agent.effects import Perform
+from redwingstream.agent.effects import PerformServerEffects
 from redwingstream.agent.parts import AgentParts
 from redwingstream.agent.replies import Replies
 from redwingstream.agent.runs import Run, RunEnd, answer_with
@@ -40,7 +40,7 @@
     exchange: int
 
 
-class Carrier:
+class RequestExecutor:
     """The requests that this agent's server is running.
 
     Parameters
@@ -66,7 +66,7 @@
         parts: AgentParts,
         replies: Replies,
         on_end: Callable[[RunEnd, float], None],
-        perform: Perform,
+        perform: PerformServerEffects,
     ) -> None:
         self.queue = WaitQueue(parts.limit)
         self._parts = parts
@@ -96,15 +96,15 @@
             return None
         if not self._takes_work(now) or not self._parts.limit.try_start(now):
             return None
-        self._parts.gauge.served(now)
+        self._parts.gauge.record_served(now)
         return Slot(now)
 
     def release(self, slot: Slot, now: float) -> None:
         """Give a place back that was not used."""
-        self._parts.limit.finished(
+        self._parts.limit.record_finished(
             now - slot.taken_at, RunResult.CANCELLED, now
         )
-        self.queue.serve(now)
+        self.queue.admit_waiting(now)
 
     def start(self, run: Run, slot: Slot, now: float) -> None:
         """Hand a request to the server in a place that was reserved."""
@@ -129,8 +129,8 @@
         if parts.is_leaving or parts.is_zone_out() or parts.server_is_silent:
             self.queue.clear(now)
         self._learn_latency(now)
-        self.queue.serve(now)
-        self.queue.expire(now)
+        self.queue.admit_waiting(now)
+        self.queue.refuse_expired(now)
 
     def cancel_all(self, now: float) -> None:
         """Give up all that runs: cancelled at the server, told truthfully."""
@@ -139,7 +139,9 @@
             effects = self._parts.upstream.cancel(started.exchange, now)
             self._perform(effects, now)
 
-    def responded(self, owner: Hashable, response: Message, now: float) -> None:
+    def handle_response(
+        self, owner: Hashable, response: Message, now: float
+    ) -> None:
         """Take the server's answer."""
         started = self._started_by_owner.pop(owner, None)
         if started is None:
@@ -158,7 +160,7 @@
         )
         self._on_end(RunEnd(run, RequestState.ANSWERED, answer), now)
 
-    def failed(
+    def handle_failure(
         self, owner: Hashable, state: RequestState, why: ResultCode, now: float
     ) -> None:
         """Take the end of a run without an answer."""
@@ -185,7 +187,7 @@
             return
         latency = self._parts.loads.expected_latency(now)
         if latency is not None:
-            limit.expect(latency)
+            limit.set_expected_latency(latency)
 
     def _takes_work(self, now: float) -> bool:
         if self._parts.is_zone_out():
@@ -202,5 +204,5 @@
         self, started: _Started, run_result: RunResult, now: float
     ) -> None:
         latency = now - started.slot.taken_at
-        self._parts.limit.finished(latency, run_result, now)
-        self.queue.serve(now)
+        self._parts.limit.record_finished(latency, run_result, now)
+        self.queue.admit_waiting(now)
--- a/redwingstream/agent/core.py
+++ b/redwingstream/agent/core.py
@@ -1,6 +1,6 @@
 """All decisions of an agent behind one door, without I/O and clock."""
 
-from redwingstream.agent.assembly import AgentDesks
+from redwingstream.agent.assembly import AgentComponents
 from redwingstream.agent.inbox import AgentMessage
 from redwingstream.agent.parts import AgentParts
 from redwingstream.endpoints import parse_endpoint
@@ -40,29 +40,31 @@
 
     def __init__(self, parts: AgentParts) -> None:
         self.parts = parts
-        self._desks = AgentDesks(parts)
+        self._desks = AgentComponents(parts)
         self._zone_out_at: float | None = None
         self._is_stopping = False
 
-    def follow(self, tables: Tables, now: float) -> None:
+    def apply_tables(self, tables: Tables, now: float) -> None:
         """Go by newer tables."""
         parts = self.parts
         desks = self._desks
         parts.store.now = now
-        parts.follow(tables, now)
-        view = tables.view_by_pool.get(parts.me.pool)
+        parts.apply_tables(tables, now)
+        view = tables.view_by_pool.get(parts.identity.pool)
         if view is not None:
             desks.keeper.perform(parts.keeper.adopt(view, now), now)
-        desks.view_changed(now)
-        member = tables.member_by_host.get(parts.me.host)
+        desks.handle_view_change(now)
+        member = tables.member_by_host.get(parts.identity.host)
         is_marked = member is not None and member.draining
         parts.is_leaving = self._is_stopping or is_marked
         if parts.is_former_run():
             # Its homes place the feeds of a removed run elsewhere.
-            desks.feeds.let_go_all(now)
+            desks.feeds.release_all(now)
         self._mind_zone(now)
 
-    def take(self, message: AgentMessage, source: str, now: float) -> None:
+    def handle_message(
+        self, message: AgentMessage, source: str, now: float
+    ) -> None:
         """Take a frame of another process."""
         parts = self.parts
         desks = self._desks
@@ -70,27 +72,29 @@
         parts.links.heard(parse_endpoint(source))
         match message:
             case Packet():
-                parts.out.hear_revision(message.revision, source)
-                desks.intake.take(message, now)
+                parts.out.fetch_if_newer(message.revision, source)
+                desks.dispatcher.take(message, now)
             case Assigned():
                 desks.assigned.take(message, now)
             case RunOutcome():
-                desks.once.outcome(message, now)
+                desks.non_idempotent.outcome(message, now)
             case LoadReport():
-                parts.loads.reported(message, now)
+                parts.loads.handle_report(message, now)
             case Record() | RecordAck() | TakeBucket() | BucketGiven():
                 effects = parts.keeper.on_message(message, now, source)
                 desks.keeper.perform(effects, now)
             case _:
                 self._take_feed_message(message, source, now)
 
-    def take_from_server(self, packet: bytes, source: int, now: float) -> None:
+    def handle_server_packet(
+        self, packet: bytes, source: int, now: float
+    ) -> None:
         """Take a packet of the backend server."""
         self.parts.store.now = now
         effects = self.parts.upstream.receive(packet, now, source)
         self._desks.server.perform(effects, now)
 
-    def server_refused(self, now: float) -> None:
+    def handle_server_unreachable(self, now: float) -> None:
         """Take the hint that nobody listens at the server's address."""
         effects = self.parts.upstream.refused(now)
         self._desks.server.perform(effects, now)
@@ -103,7 +107,7 @@
         parts.store.expire(now)
         out_at = self._zone_out_at
         if out_at is not None and now - out_at > ZONE_OUT_GRACE:
-            self._desks.carrier.cancel_all(now)
+            self._desks.executor.cancel_all(now)
 
     def leave(self) -> None:
         """Take no new work; ask the homes to place the feeds elsewhere.
@@ -113,18 +117,18 @@
         """
         self._is_stopping = True
         self.parts.is_leaving = True
-        self._desks.feeds.move_soon()
+        self._desks.feeds.schedule_moves()
 
     def is_idle(self) -> bool:
         """Whether nothing has an outcome outstanding and no feed is here."""
         desks = self._desks
-        unfinished = len(desks.carrier) + len(desks.once)
+        unfinished = len(desks.executor) + len(desks.non_idempotent)
         return not unfinished and not len(self.parts.feeds)
 
-    def give_up(self, now: float) -> None:
+    def end_unfinished(self, now: float) -> None:
         """End what has not finished, truthfully: the time to leave is up."""
         self._end_requests(now)
-        self._desks.feeds.give_up_all(ResultCode.DRAINING, now)
+        self._desks.feeds.end_all(ResultCode.DRAINING, now)
 
     def retire(self, now: float) -> None:
         """End this run: control has admitted a later one of this process.
@@ -135,7 +139,7 @@
         is running for it is cancelled and told as *unknown*.
         """
         self._end_requests(now)
-        self._desks.feeds.let_go_all(now)
+        self._desks.feeds.release_all(now)
 
     def vitals(self) -> Vitals:
         """Return what the heartbeat says of this agent."""
@@ -154,25 +158,25 @@
         desks = self._desks
         match message:
             case FeedMove():
-                desks.moves.move(message, source, now)
+                desks.moves.handle_feed_move(message, source, now)
             case FeedEnd():
-                desks.moves.end(message, now)
+                desks.moves.handle_feed_end(message, now)
             case CarriedFeeds():
-                desks.checks.carried(message, source, now)
+                desks.checks.handle_carried_feeds(message, source, now)
             case TakeFeed():
-                desks.feeds.take(message, now)
+                desks.feeds.handle_take_feed(message, now)
             case FeedMoved():
                 effects = self.parts.feeds.moved(message)
-                desks.feeds.carry_out(effects, now)
+                desks.feeds.perform(effects, now)
 
     def _end_requests(self, now: float) -> None:
-        self._desks.intake.give_up(now)
-        self._desks.once.give_up(now)
-        self._desks.carrier.cancel_all(now)
+        self._desks.dispatcher.give_up(now)
+        self._desks.non_idempotent.give_up(now)
+        self._desks.executor.cancel_all(now)
 
     def _mind_zone(self, now: float) -> None:
         if not self.parts.is_zone_out():
             self._zone_out_at = None
         elif self._zone_out_at is None:
             self._zone_out_at = now
-            self._desks.feeds.give_up_all(ResultCode.ZONE_OUT, now)
+            self._desks.feeds.end_all(ResultCode.ZONE_OUT, now)
--- a/redwingstream/agent/feed_checks.py
+++ b/redwingstream/agent/feed_checks.py
@@ -1,7 +1,7 @@
 """Finds feeds whose carrier is gone, silent, or stands in a zone out."""
 
 from redwingstream.agent.feeds import FeedRelay
-from redwingstream.agent.moves import FeedMoves, Move
+from redwingstream.agent.feed_moves import FeedMoves, Move
 from redwingstream.agent.parts import AgentParts
 from redwingstream.endpoints import parse_endpoint
 from redwingstream.errors import ResultCode
@@ -59,7 +59,9 @@
                 self._due_by_record[record] = due
                 self._check_one(record, now)
 
-    def carried(self, message: CarriedFeeds, source: str, now: float) -> None:
+    def handle_carried_feeds(
+        self, message: CarriedFeeds, source: str, now: float
+    ) -> None:
         """Learn of feeds from the agent that carries them.
 
         Notes
@@ -96,7 +98,7 @@
     def _check_one(self, record: FlowRecord, now: float) -> None:
         parts = self._parts
         carrier = record.carrier
-        if carrier == parts.me.carrier:
+        if carrier == parts.identity.carrier:
             if parts.feeds.handover(record.key) is None:
                 self._tell_again(record, now)
         elif parts.is_carrier_in_zone_out(carrier):
@@ -147,7 +149,7 @@
         effects = self._parts.feeds.give_up(
             record.key, ResultCode.ZONE_OUT, now
         )
-        self._feeds.carry_out(effects, now)
+        self._feeds.perform(effects, now)
 
 
 def _last_number(record: FlowRecord) -> int:
--- a/redwingstream/agent/moves.py
+++ b/redwingstream/agent/feed_moves.py
@@ -9,8 +9,8 @@
 
 import attrs
 
-from redwingstream.agent.assignments import Assignments
-from redwingstream.agent.effects import PerformEffects
+from redwingstream.agent.assignments import OutgoingAssignments
+from redwingstream.agent.effects import PerformKeeperEffects
 from redwingstream.agent.feeds import FeedRelay
 from redwingstream.agent.parts import AgentParts
 from redwingstream.errors import ResultCode
@@ -68,8 +68,8 @@
         self,
         parts: AgentParts,
         feeds: FeedRelay,
-        assignments: Assignments,
-        perform: PerformEffects,
+        assignments: OutgoingAssignments,
+        perform: PerformKeeperEffects,
     ) -> None:
         self._parts = parts
         self._feeds = feeds
@@ -79,7 +79,9 @@
         self._moving: set[FlowKey] = set()
         self._handed_at: OrderedDict[FlowKey, float] = OrderedDict()
 
-    def move(self, message: FeedMove, source: str, now: float) -> None:
+    def handle_feed_move(
+        self, message: FeedMove, source: str, now: float
+    ) -> None:
         """Take a carrier's request to place a feed elsewhere."""
         key = message.record.key
         if not self.is_home(key) or self.is_moving(key):
@@ -110,7 +112,7 @@
         self._move_by_ticket[ticket] = Move(following, observe, former)
         self._perform(effects, now)
 
-    def end(self, message: FeedEnd, now: float) -> None:
+    def handle_feed_end(self, message: FeedEnd, now: float) -> None:
         """Forget a feed that has ended."""
         if self.is_home(message.record.key):
             self.remember(message.record, now)
@@ -183,8 +185,8 @@
         self._handed_at[record.key] = now
         self._handed_at.move_to_end(record.key)
         message = TakeFeed(record, move.observe, move.former)
-        if record.carrier == self._parts.me.carrier:
-            self._feeds.take(message, now)
+        if record.carrier == self._parts.identity.carrier:
+            self._feeds.handle_take_feed(message, now)
             return
         endpoint = self._parts.endpoint_of_carrier(record.carrier)
         if endpoint is not None:
@@ -206,12 +208,12 @@
         An established feed is taken on even beyond the limit for new ones
         when nobody else has room: its registration waits for the server.
         """
-        is_own = former == self._parts.me.endpoint
+        is_own = former == self._parts.identity.endpoint
         if not is_own and self._feeds.has_room(now):
-            return self._parts.me.carrier
-        chosen = self._assignments.choose(now)
+            return self._parts.identity.carrier
+        chosen = self._assignments.choose_carrier(now)
         if chosen:
             return chosen
         if is_own or self._parts.is_leaving:
-            return self._assignments.choose_for_established(now)
-        return self._parts.me.carrier
+            return self._assignments.choose_carrier_for_open_feed(now)
+        return self._parts.identity.carrier
--- a/redwingstream/agent/feeds.py
+++ b/redwingstream/agent/feeds.py
@@ -3,8 +3,8 @@
 import attrs
 from aiocoap.message import Message
 
-from redwingstream.agent.effects import Perform
-from redwingstream.agent.openings import NO_SERVER_PATIENCE, FeedOpenings
+from redwingstream.agent.effects import PerformServerEffects
+from redwingstream.agent.openings import UNSERVED_FEED_TIMEOUT, FeedOpenings
 from redwingstream.agent.parts import AgentParts
 from redwingstream.agent.replies import Replies
 from redwingstream.errors import ResultCode
@@ -62,7 +62,7 @@
     """
 
     def __init__(
-        self, parts: AgentParts, replies: Replies, perform: Perform
+        self, parts: AgentParts, replies: Replies, perform: PerformServerEffects
     ) -> None:
         self._parts = parts
         self._replies = replies
@@ -84,10 +84,13 @@
         if parts.is_leaving or parts.is_zone_out() or parts.server_is_silent:
             return False
         waiting = parts.feeds.waiting()
-        if waiting >= MAX_WAITING or waiting >= parts.feed_limit.vacancies():
+        if (
+            waiting >= MAX_WAITING
+            or waiting >= parts.feed_limit.remaining_feeds()
+        ):
             return False
         is_busy = 0 < parts.limit.limit <= parts.limit.in_flight
-        return is_busy or parts.limit.has_room(now)
+        return is_busy or parts.limit.can_start(now)
 
     def register(
         self, record: FlowRecord, packet: Packet, request: Message, now: float
@@ -96,15 +99,15 @@
         effects = self._parts.feeds.register(
             record, request, packet.balancer, now
         )
-        self.carry_out(effects, now)
+        self.perform(effects, now)
         self.openings.open_waiting(now)
 
     def deregister(self, packet: Packet, request: Message, now: float) -> None:
         """End a feed because its caller asks for it."""
         key = FlowKey(packet.caller, packet.service, request.token)
-        self.carry_out(self._parts.feeds.deregister(key), now)
+        self.perform(self._parts.feeds.deregister(key), now)
 
-    def take(self, message: TakeFeed, now: float) -> None:
+    def handle_take_feed(self, message: TakeFeed, now: float) -> None:
         """Go on with an established feed of another carrier.
 
         Notes
@@ -120,7 +123,7 @@
                 message.former, record.generation, now + FORMER_PATIENCE
             )
         effects = self._parts.feeds.take(record, message.observe, now)
-        self.carry_out(effects, now)
+        self.perform(effects, now)
         self.openings.open_waiting(now)
 
     def updated(
@@ -129,9 +132,9 @@
         """Pass a notification of the server on."""
         if not isinstance(source, FeedSource):
             return
-        self.openings.opened(source, now)
+        self.openings.handle_notification(source, now)
         self._parts.server_is_silent = False
-        self.carry_out(self._parts.feeds.update(source, notification, now), now)
+        self.perform(self._parts.feeds.update(source, notification, now), now)
         self._release_former(source.key)
 
     def ended(
@@ -144,11 +147,11 @@
         """Take the end of a feed at the server."""
         if not isinstance(source, FeedSource):
             return
-        self.openings.ended(source, response, now)
+        self.openings.handle_end(source, response, now)
         effects = self._parts.feeds.ended(source, why, response, now)
-        self.carry_out(effects, now)
+        self.perform(effects, now)
 
-    def carry_out(self, effects: list[FeedEffect], now: float) -> None:
+    def perform(self, effects: list[FeedEffect], now: float) -> None:
         """Do what the callers' side of the feeds asks for."""
         for effect in effects:
             match effect:
@@ -157,16 +160,16 @@
                         balancer, caller, service, payload
                     )
                 case CloseFeed(source):
-                    self.openings.closed(source, now)
+                    self.openings.close(source, now)
                 case FeedClosed(record, _):
-                    pool = self._parts.me.pool
+                    pool = self._parts.identity.pool
                     self._send_to_home(record, FeedEnd(pool, record))
                 case GenerationWanted(record):
                     self._ask_to_move(record.key)
 
     def tick(self, now: float) -> None:
         """Repeat notifications, register what waits, move what cannot."""
-        self.carry_out(self._parts.feeds.poll(now), now)
+        self.perform(self._parts.feeds.poll(now), now)
         self.openings.open_waiting(now)
         for key, former in list(self._former_by_key.items()):
             if now >= former.until:
@@ -175,26 +178,26 @@
             self._move_at = now + MOVE_INTERVAL
             self._move_due(now)
 
-    def give_up_all(self, why: ResultCode, now: float) -> None:
+    def end_all(self, why: ResultCode, now: float) -> None:
         """End every feed at once, with when to come back."""
         for key in self._parts.feeds.keys():
             self._parts.metrics.count('feed_given_up')
-            self.carry_out(self._parts.feeds.give_up(key, why, now), now)
+            self.perform(self._parts.feeds.give_up(key, why, now), now)
 
-    def let_go_all(self, now: float) -> None:
+    def release_all(self, now: float) -> None:
         """Leave every feed to others, without a word to its caller."""
         for record in self._parts.feeds.records():
             later = FeedMoved(record.key, record.generation + 1)
-            self.carry_out(self._parts.feeds.moved(later), now)
+            self.perform(self._parts.feeds.moved(later), now)
 
-    def move_soon(self) -> None:
+    def schedule_moves(self) -> None:
         """Have the next :meth:`tick` ask at once: this agent leaves."""
         self._move_at = float()
 
     def _move_due(self, now: float) -> None:
         """Ask the homes to place feeds elsewhere, at a bounded pace."""
         feeds = self._parts.feeds
-        keys = feeds.without_server(now, NO_SERVER_PATIENCE)
+        keys = feeds.without_server(now, UNSERVED_FEED_TIMEOUT)
         if self._parts.is_leaving:
             keys = list(feeds.keys())
         for key in keys:
--- a/redwingstream/agent/home.py
+++ b/redwingstream/agent/home.py
@@ -5,9 +5,9 @@
 import attrs
 from aiocoap.message import Message
 
-from redwingstream.agent.assignments import Assignments
-from redwingstream.agent.carrier import Carrier
-from redwingstream.agent.effects import PerformEffects
+from redwingstream.agent.assignments import OutgoingAssignments
+from redwingstream.agent.carrier import RequestExecutor
+from redwingstream.agent.effects import PerformKeeperEffects
 from redwingstream.agent.feeds import FeedRelay
 from redwingstream.agent.parts import AgentParts
 from redwingstream.agent.replies import Replies
@@ -57,10 +57,10 @@
         self,
         parts: AgentParts,
         replies: Replies,
-        carrier: Carrier,
+        carrier: RequestExecutor,
         feeds: FeedRelay,
-        assignments: Assignments,
-        perform: PerformEffects,
+        assignments: OutgoingAssignments,
+        perform: PerformKeeperEffects,
     ) -> None:
         self._parts = parts
         self._replies = replies
@@ -104,9 +104,9 @@
             self._parts.metrics.count('registration_awaits_carrier')
             return
         has_room = self._feeds.has_room(now)
-        carrier = self._parts.me.carrier
+        carrier = self._parts.identity.carrier
         if not has_room:
-            carrier = self._assignments.choose(now)
+            carrier = self._assignments.choose_carrier(now)
         if not carrier:
             self._replies.refuse(packet, request, ResultCode.OVERLOADED, now)
             return
@@ -132,7 +132,7 @@
         record = self._record_of(packet, request.token, now)
         return record is not None and bool(record.registration)
 
-    def recorded(self, ticket: int, now: float) -> bool:
+    def handle_recorded(self, ticket: int, now: float) -> bool:
         """Start a feed that home and heir hold; False if it is none."""
         waiting = self._take_waiting(ticket)
         if waiting is None:
@@ -140,7 +140,9 @@
         self._go_on(waiting.record, waiting.packet, waiting.request, now)
         return True
 
-    def refused(self, ticket: int, reason: ResultCode, now: float) -> None:
+    def handle_record_refused(
+        self, ticket: int, reason: ResultCode, now: float
+    ) -> None:
         """Refuse a feed that could not be recorded."""
         waiting = self._take_waiting(ticket)
         if waiting is None:
@@ -171,14 +173,14 @@
         now: float,
     ) -> bool:
         """Hand a registration to the feed's carrier, if that lives."""
-        if record.carrier == self._parts.me.carrier:
+        if record.carrier == self._parts.identity.carrier:
             self._feeds.register(record, packet, request, now)
             return True
         return self._pass_on(packet, record, now)
 
     def _pass_on(self, packet: Packet, record: FlowRecord, now: float) -> bool:
         """Send a packet to the agent that carries its flow, if that lives."""
-        if record.carrier == self._parts.me.carrier:
+        if record.carrier == self._parts.identity.carrier:
             return False
         if self._parts.is_carrier_silent(record.carrier, now):
             return False
@@ -188,7 +190,7 @@
         self._parts.metrics.count('passed_on')
         assigned = Assigned(
             packet=packet,
-            home=self._parts.me.endpoint,
+            home=self._parts.identity.endpoint,
             generation=record.generation,
             carrier_incarnation=int(record.carrier.rpartition('#')[2]),
         )
@@ -212,7 +214,7 @@
         # first: another one may have another representation.
         carrier = ''
         if not is_later_block(run.request):
-            carrier = self._assignments.choose(now)
+            carrier = self._assignments.choose_carrier(now)
         if not carrier:
             return False
         self._parts.metrics.count('placed_elsewhere')
--- a/redwingstream/agent/intake.py
+++ b/redwingstream/agent/intake.py
@@ -3,12 +3,12 @@
 import attrs
 from aiocoap.message import Message
 
-from redwingstream.agent.endings import Endings
+from redwingstream.agent.request_endings import RequestEndings
 from redwingstream.agent.held import Held, HeldPackets
 from redwingstream.agent.home import FlowPlacement
-from redwingstream.agent.once import OnceRequests
+from redwingstream.agent.once import NonIdempotentRequests
 from redwingstream.agent.parts import AgentParts
-from redwingstream.agent.reactions import Reactions
+from redwingstream.agent.reactions import AckRelay
 from redwingstream.agent.replies import Replies
 from redwingstream.endpoints import parse_endpoint
 from redwingstream.errors import ResultCode, SettingError, WireError
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen(eq=False)
-class Deciders:
+class RequestHandlers:
     """Who decides on what a caller sends.
 
     Parameters
@@ -49,12 +49,12 @@
     """
 
     home: FlowPlacement
-    once: OnceRequests
-    endings: Endings
-    reactions: Reactions
+    once: NonIdempotentRequests
+    endings: RequestEndings
+    reactions: AckRelay
 
 
-class Intake:
+class PacketDispatcher:
     """The way of a packet up to the module that decides on it.
 
     Parameters
@@ -68,7 +68,7 @@
     """
 
     def __init__(
-        self, parts: AgentParts, replies: Replies, deciders: Deciders
+        self, parts: AgentParts, replies: Replies, deciders: RequestHandlers
     ) -> None:
         self._parts = parts
         self._replies = replies
@@ -98,7 +98,7 @@
         self._parts.metrics.count('held_dropped')
         self._give_up(held, request, now)
 
-    def bucket_in_effect(self, bucket: int, now: float) -> None:
+    def retry_held(self, bucket: int, now: float) -> None:
         """Take the packets that were held for a bucket."""
         for held in self._held.of_bucket(bucket):
             self._try_again(held, now)
@@ -129,7 +129,7 @@
         address that another service's agent has now: its packets would reach
         a server of the wrong service.  Each end decides by its own tables.
         """
-        if packet.pool != self._parts.me.pool:
+        if packet.pool != self._parts.identity.pool:
             return False
         try:
             caller = parse_endpoint(packet.caller)
@@ -164,12 +164,12 @@
 
     def _not_home(self, held: Held, request: Message, now: float) -> bool:
         home = self._parts.home_of(held.bucket)
-        if home is None or self._parts.is_me(home):
+        if home is None or self._parts.is_this_agent(home):
             # No home, or fenced at a view that this agent has not heard of
             # yet.  The request may have run before: see _give_up.
             return self._tell_known(held.packet, request)
         endpoint = parse_endpoint(home.endpoint)
-        is_heir = self._parts.is_me(self._parts.heir_of(held.bucket))
+        is_heir = self._parts.is_this_agent(self._parts.heir_of(held.bucket))
         if is_heir and self._parts.links.is_silent(endpoint, now):
             return self._stand_in(held, request, now)
         packet = held.packet
@@ -203,7 +203,7 @@
         """Answer a replay whose outcome is in the ledger here."""
         if coap.is_idempotent(request):
             return False
-        known = self._to.endings.known_answer(packet, request)
+        known = self._to.endings.find_known_answer(packet, request)
         if known is None:
             return False
         self._replies.send(packet, known.answer)
--- a/redwingstream/agent/keeper_side.py
+++ b/redwingstream/agent/keeper_effects.py
@@ -2,9 +2,9 @@
 
 from redwingstream.agent.feed_checks import FeedChecks
 from redwingstream.agent.home import FlowPlacement
-from redwingstream.agent.intake import Intake
-from redwingstream.agent.moves import FeedMoves
-from redwingstream.agent.once import OnceRequests
+from redwingstream.agent.intake import PacketDispatcher
+from redwingstream.agent.feed_moves import FeedMoves
+from redwingstream.agent.once import NonIdempotentRequests
 from redwingstream.agent.parts import AgentParts
 from redwingstream.errors import ResultCode
 from redwingstream.placement.effects import (
@@ -31,11 +31,11 @@
         Who waits for records and buckets; set by the core.
     """
 
-    once: OnceRequests
+    non_idempotent: NonIdempotentRequests
     home: FlowPlacement
     moves: FeedMoves
     checks: FeedChecks
-    intake: Intake
+    dispatcher: PacketDispatcher
 
     def __init__(self, parts: AgentParts) -> None:
         self._parts = parts
@@ -58,19 +58,19 @@
                     self._refused(ticket, reason, now)
                 case BucketInEffect(bucket):
                     self.checks.check_soon()
-                    self.intake.bucket_in_effect(bucket, now)
+                    self.dispatcher.retry_held(bucket, now)
                 case FetchNeeded(endpoint):
                     newer = self._parts.tables.revision + 1
-                    self._parts.out.hear_revision(newer, endpoint)
+                    self._parts.out.fetch_if_newer(newer, endpoint)
 
     def _recorded(self, ticket: int, now: float) -> None:
-        if self.once.recorded(ticket, now):
+        if self.non_idempotent.handle_recorded(ticket, now):
             return
-        if not self.home.recorded(ticket, now):
+        if not self.home.handle_recorded(ticket, now):
             self.moves.recorded(ticket, now)
 
     def _refused(self, ticket: int, reason: ResultCode, now: float) -> None:
         self._parts.metrics.count(f'record_refused_{reason.name.lower()}')
-        self.once.refused(ticket, reason, now)
-        self.home.refused(ticket, reason, now)
+        self.non_idempotent.handle_record_refused(ticket, reason, now)
+        self.home.handle_record_refused(ticket, reason, now)
         self.moves.refused(ticket, reason, now)
--- a/redwingstream/agent/making.py
+++ b/redwingstream/agent/making.py
@@ -3,7 +3,7 @@
 import random
 
 from redwingstream.admission.choice import PeerLoads
-from redwingstream.admission.come_back import ComeBack, OverloadGauge
+from redwingstream.admission.come_back import RetryDelays, OverloadGauge
 from redwingstream.admission.feeds import FeedLimit
 from redwingstream.admission.limit import ConcurrencyLimit
 from redwingstream.admission.retry_budget import RetryBudget
@@ -55,7 +55,7 @@
         buckets=me.buckets,
     )
     return AgentParts(
-        me=me,
+        identity=me,
         out=out,
         metrics=metrics,
         store=store,
@@ -66,7 +66,7 @@
         limit=ConcurrencyLimit(capacity.slots),
         feed_limit=FeedLimit(capacity.connections),
         loads=PeerLoads(rng),
-        come_back=ComeBack(rng),
+        come_back=RetryDelays(rng),
         gauge=OverloadGauge(),
         budget=RetryBudget(),
     )
--- a/redwingstream/agent/once.py
+++ b/redwingstream/agent/once.py
@@ -11,14 +11,14 @@
 import attrs
 from aiocoap.message import Message
 
-from redwingstream.agent.assignments import Assignments
-from redwingstream.agent.carrier import Carrier, Slot
-from redwingstream.agent.effects import PerformEffects
+from redwingstream.agent.assignments import OutgoingAssignments
+from redwingstream.agent.carrier import RequestExecutor, Slot
+from redwingstream.agent.effects import PerformKeeperEffects
 from redwingstream.agent.elsewhere import RunsElsewhere
-from redwingstream.agent.endings import Endings
+from redwingstream.agent.request_endings import RequestEndings
 from redwingstream.agent.parts import AgentParts
 from redwingstream.agent.replies import Replies
-from redwingstream.agent.runs import Run, RunEnd, deadline_of, key_of
+from redwingstream.agent.runs import Run, RunEnd, deadline_of, request_key
 from redwingstream.agent.wait_queue import Waiter
 from redwingstream.errors import ResultCode
 from redwingstream.forwarding.messages import Packet, RunOutcome
@@ -59,7 +59,7 @@
     carrier: str = ''
 
 
-class OnceRequests:
+class NonIdempotentRequests:
     """Decides on non-idempotent requests of the buckets that are home here.
 
     Parameters
@@ -82,10 +82,10 @@
         self,
         parts: AgentParts,
         replies: Replies,
-        carrier: Carrier,
-        assignments: Assignments,
-        endings: Endings,
-        perform: PerformEffects,
+        carrier: RequestExecutor,
+        assignments: OutgoingAssignments,
+        endings: RequestEndings,
+        perform: PerformKeeperEffects,
     ) -> None:
         self._parts = parts
         self._ledger = parts.store.ledger
@@ -106,23 +106,23 @@
     ) -> None:
         """Take a request whose home this agent is."""
         checksum = request_checksum(request)
-        key = key_of(packet, request)
+        key = request_key(packet, request)
         begun = self._ledger.begin(bucket, key, checksum, now)
         run = Run(packet, request, bucket, deadline_of(request, now), checksum)
         match begun:
-            case Fresh() if self._endings.is_sure(bucket):
-                self._parts.budget.fresh()
+            case Fresh() if self._endings.is_ledger_complete(bucket):
+                self._parts.budget.record_request()
                 self._place(run, now)
             case Fresh():
                 self._endings.end_unknown(run, now)
-            case Full() if not self._endings.is_sure(bucket):
+            case Full() if not self._endings.is_ledger_complete(bucket):
                 self._replies.send(packet, self._replies.unknown(request))
             case OutcomeUnknown(b'') if self._elsewhere.wait(run, now):
                 self._parts.metrics.count('run_elsewhere')
             case _:
                 self._replay(packet, request, begun)
 
-    def recorded(self, ticket: int, now: float) -> bool:
+    def handle_recorded(self, ticket: int, now: float) -> bool:
         """Run a request that home and heir hold; False if it is none."""
         waiting = self._take_out(ticket)
         if waiting is None:
@@ -131,7 +131,9 @@
         self._launch(waiting, now)
         return True
 
-    def refused(self, ticket: int, reason: ResultCode, now: float) -> None:
+    def handle_record_refused(
+        self, ticket: int, reason: ResultCode, now: float
+    ) -> None:
         """End a request that must not run here."""
         waiting = self._take_out(ticket)
         if waiting is None:
@@ -140,22 +142,24 @@
             self._carrier.release(waiting.slot, now)
         run = waiting.run
         if reason is ResultCode.OUTCOME_UNKNOWN:
-            self._endings.tell_what_is_known(run, now)
+            self._endings.answer_from_ledger(run, now)
         elif reason is ResultCode.RECOVERING:
             # It may be the replay of a request that a lost home has run.
             self._endings.end_unknown(run, now)
-        elif self._endings.is_sure(run.bucket):
+        elif self._endings.is_ledger_complete(run.bucket):
             self._parts.store.release(run.identity)
             self._endings.end_unrecorded(run, reason, now)
         else:
-            self._endings.hand_on(run, now)
+            self._endings.forward_to_next_home(run, now)
 
     def outcome(self, outcome: RunOutcome, now: float) -> None:
         """Take the outcome of a run at another agent."""
         identity = (outcome.key, outcome.checksum)
         run = self._assignments.finish(identity)
         if run is not None:
-            self._endings.ended(RunEnd(run, outcome.state, outcome.answer), now)
+            self._endings.handle_run_end(
+                RunEnd(run, outcome.state, outcome.answer), now
+            )
             return
         # Of a run that an earlier home has begun: its replays find it here.
         self._parts.metrics.count('outcome_late')
@@ -163,7 +167,7 @@
             self._ledger.finish(*identity, outcome.state, outcome.answer, now)
         replay = self._elsewhere.take_out(identity)
         if replay is not None:
-            self._endings.tell_what_is_known(replay, now)
+            self._endings.answer_from_ledger(replay, now)
 
     def tick(self, now: float) -> None:
         """Repeat assignments; end those whose carrier does not answer."""
@@ -187,7 +191,7 @@
 
     def _place(self, run: Run, now: float) -> None:
         slot = self._carrier.reserve(now)
-        carrier = '' if slot else self._assignments.choose(now)
+        carrier = '' if slot else self._assignments.choose_carrier(now)
         if slot or carrier:
             self._record(_Waiting(run, now, slot, carrier), now)
             return
@@ -203,18 +207,18 @@
         slot = self._carrier.reserve(now)
         if slot is None:
             return False
-        if self._endings.is_sure(run.bucket):
+        if self._endings.is_ledger_complete(run.bucket):
             self._record(_Waiting(run, now, slot), now)
         else:
             self._carrier.release(slot, now)
-            self._endings.hand_on(run, now)
+            self._endings.forward_to_next_home(run, now)
         return True
 
     def _not_admitted(self, run: Run, now: float) -> None:
-        if self._endings.is_sure(run.bucket):
+        if self._endings.is_ledger_complete(run.bucket):
             self._endings.end_unrecorded(run, ResultCode.OVERLOADED, now)
         else:
-            self._endings.hand_on(run, now)
+            self._endings.forward_to_next_home(run, now)
 
     def _record(self, waiting: _Waiting, now: float) -> None:
         run = waiting.run
@@ -249,13 +253,15 @@
         if slot is not None:
             self._carrier.start(run, slot, now)
             return
-        carrier = carrier or self._assignments.choose(now)
+        carrier = carrier or self._assignments.choose_carrier(now)
         if carrier:
             self._assignments.start(run, carrier, now)
             return
         request = run.request
         answer = self._replies.not_run(request, ResultCode.OVERLOADED, now)
-        self._endings.ended(RunEnd(run, RequestState.NOT_RUN, answer), now)
+        self._endings.handle_run_end(
+            RunEnd(run, RequestState.NOT_RUN, answer), now
+        )
 
     def _take_out(self, ticket: int) -> _Waiting | None:
         return self._waiting_by_ticket.pop(ticket, None)
--- a/redwingstream/agent/openings.py
+++ b/redwingstream/agent/openings.py
@@ -3,12 +3,12 @@
 from aiocoap.message import Message
 
 from redwingstream.admission.limit import RunResult
-from redwingstream.agent.effects import Perform
+from redwingstream.agent.effects import PerformServerEffects
 from redwingstream.agent.parts import AgentParts
 from redwingstream.flows.effects import FeedSource, OpenFeed
 from redwingstream.wire import coap
 
-NO_SERVER_PATIENCE = 2.0
+UNSERVED_FEED_TIMEOUT = 2.0
 """Seconds after which a feed that its server does not take moves elsewhere."""
 
 
@@ -23,7 +23,9 @@
         Carries out what the server's side asks for.
     """
 
-    def __init__(self, parts: AgentParts, perform: Perform) -> None:
+    def __init__(
+        self, parts: AgentParts, perform: PerformServerEffects
+    ) -> None:
         self._parts = parts
         self._perform = perform
         self._opening_at: dict[FeedSource, float] = {}
@@ -34,23 +36,26 @@
         parts = self._parts
         if parts.server_is_silent or parts.is_zone_out():
             return
-        while parts.limit.has_room(now) and parts.feed_limit.room(now) > 0:
+        while (
+            parts.limit.can_start(now)
+            and parts.feed_limit.available_registrations(now) > 0
+        ):
             opens = parts.feeds.next_registrations(now, 1)
             if not opens:
                 return
             self._open_one(opens[0], now)
 
-    def opened(self, source: FeedSource, now: float) -> bool:
+    def handle_notification(self, source: FeedSource, now: float) -> bool:
         """Take a notification; True when it is the first one."""
         started_at = self._opening_at.pop(source, None)
         if started_at is None:
             return False
         self._finish(started_at, RunResult.COMPLETED, now)
-        self._parts.feed_limit.opened()
+        self._parts.feed_limit.record_opened()
         self._open.add(source)
         return True
 
-    def ended(
+    def handle_end(
         self, source: FeedSource, response: Message | None, now: float
     ) -> None:
         """Take the end of a feed at the server.
@@ -68,12 +73,12 @@
             )
         self._give_back(source, run_result, now)
 
-    def closed(self, source: FeedSource, now: float) -> None:
+    def close(self, source: FeedSource, now: float) -> None:
         """Deregister a feed at the server."""
         self._give_back(source, RunResult.CANCELLED, now)
         self._perform(self._parts.upstream.close_feed(source, now), now)
 
-    def server_restarted(self, now: float) -> None:
+    def handle_server_restart(self, now: float) -> None:
         """Forget what the server has forgotten; admission starts cold."""
         for started_at in self._opening_at.values():
             self._finish(started_at, RunResult.CANCELLED, now)
@@ -88,7 +93,7 @@
         parts.limit.try_start(now)
         self._opening_at[source] = now
         _, effects = parts.upstream.open_feed(
-            opening.request, source, now, now + NO_SERVER_PATIENCE
+            opening.request, source, now, now + UNSERVED_FEED_TIMEOUT
         )
         self._perform(effects, now)
 
@@ -101,17 +106,17 @@
             self._end_opening(run_result)
         elif source in self._open:
             self._open.discard(source)
-            self._parts.feed_limit.closed()
+            self._parts.feed_limit.record_closed()
 
     def _end_opening(self, run_result: RunResult) -> None:
         feed_limit = self._parts.feed_limit
         if run_result in {RunResult.TIMED_OUT, RunResult.REFUSED}:
-            feed_limit.failed()
+            feed_limit.record_failed()
         else:
-            feed_limit.opened()
-            feed_limit.closed()
+            feed_limit.record_opened()
+            feed_limit.record_closed()
 
     def _finish(
         self, started_at: float, run_result: RunResult, now: float
     ) -> None:
-        self._parts.limit.finished(now - started_at, run_result, now)
+        self._parts.limit.record_finished(now - started_at, run_result, now)
--- a/redwingstream/agent/outputs.py
+++ b/redwingstream/agent/outputs.py
@@ -15,5 +15,5 @@
     def replace_source(self, source: int) -> None:
         """Close a socket to the server that is silent, and open another."""
 
-    def hear_revision(self, revision: int, endpoint: str) -> None:
+    def fetch_if_newer(self, revision: int, endpoint: str) -> None:
         """Fetch newer tables from a process that has them."""
--- a/redwingstream/agent/parts.py
+++ b/redwingstream/agent/parts.py
@@ -3,7 +3,7 @@
 import attrs
 
 from redwingstream.admission.choice import PeerLoads
-from redwingstream.admission.come_back import ComeBack, OverloadGauge
+from redwingstream.admission.come_back import RetryDelays, OverloadGauge
 from redwingstream.admission.feeds import FeedLimit
 from redwingstream.admission.limit import ConcurrencyLimit
 from redwingstream.admission.retry_budget import RetryBudget
@@ -99,7 +99,7 @@
         The callers' side of the feeds carried here.
     """
 
-    me: AgentIdentity
+    identity: AgentIdentity
     out: Outputs
     metrics: Metrics
     store: AgentStore
@@ -110,7 +110,7 @@
     limit: ConcurrencyLimit
     feed_limit: FeedLimit
     loads: PeerLoads
-    come_back: ComeBack
+    come_back: RetryDelays
     gauge: OverloadGauge
     budget: RetryBudget
     links: PeerLinks = attrs.field(factory=PeerLinks)
@@ -121,12 +121,12 @@
     is_leaving: bool = False
     server_is_silent: bool = False
 
-    def follow(self, tables: Tables, now: float) -> None:
+    def apply_tables(self, tables: Tables, now: float) -> None:
         """Go by newer tables from now on."""
         if tables.route_by_key != self.tables.route_by_key:
             self.routing = Routing(tables.route_by_key)
-        view = tables.view_by_pool.get(self.me.pool)
-        former = self.tables.view_by_pool.get(self.me.pool)
+        view = tables.view_by_pool.get(self.identity.pool)
+        former = self.tables.view_by_pool.get(self.identity.pool)
         if view is None or former is None or view.number != former.number:
             self.former_pairs = self.pairs
             self.pairs = None if view is None else PairTable.of_view(view)
@@ -135,7 +135,9 @@
 
     def bucket_of(self, caller: str, service: str) -> int:
         """Return the bucket of a flow in this agent's pool."""
-        return bucket_of(caller, service, self.me.buckets, self.me.key)
+        return bucket_of(
+            caller, service, self.identity.buckets, self.identity.key
+        )
 
     def home_of(self, bucket: int) -> ViewMember | None:
         """Return the home of a bucket in the newest view known here."""
@@ -150,19 +152,22 @@
         if self.former_pairs is None:
             return ''
         home = self.former_pairs.pair(bucket).home
-        if home is None or self.is_me(home):
+        if home is None or self.is_this_agent(home):
             return ''
         return carrier_name(home.host, home.incarnation)
 
-    def is_me(self, member: ViewMember | None) -> bool:
+    def is_this_agent(self, member: ViewMember | None) -> bool:
         """Whether a member of a view is this run of this agent."""
         if member is None:
             return False
-        return carrier_name(member.host, member.incarnation) == self.me.carrier
+        return (
+            carrier_name(member.host, member.incarnation)
+            == self.identity.carrier
+        )
 
     def is_zone_out(self) -> bool:
         """Whether the zone of this agent is out of service."""
-        return self.tables.is_zone_out(self.me.zone)
+        return self.tables.is_zone_out(self.identity.zone)
 
     def is_carrier_in_zone_out(self, carrier: str) -> bool:
         """Whether a carrier stands in a zone that is out of service."""
@@ -171,8 +176,8 @@
 
     def is_former_run(self) -> bool:
         """Whether control has removed this run of the agent."""
-        member = self.tables.member_by_host.get(self.me.host)
-        return member is None or member.incarnation != self.me.incarnation
+        member = self.tables.member_by_host.get(self.identity.host)
+        return member is None or member.incarnation != self.identity.incarnation
 
     def is_carrier_silent(self, carrier: str, now: float) -> bool:
         """Whether a carrier is gone, or has not reacted for a second.
--- a/redwingstream/agent/reactions.py
+++ b/redwingstream/agent/reactions.py
@@ -9,7 +9,7 @@
 from redwingstream.forwarding.messages import Packet
 
 
-class Reactions:
+class AckRelay:
     """Finds who waits for a caller's reaction.
 
     Parameters
@@ -37,10 +37,10 @@
         effects = parts.feeds.reply(
             packet.caller, packet.service, reaction, now
         )
-        self._feeds.carry_out(effects, now)
+        self._feeds.perform(effects, now)
         following = attrs.evolve(packet, hops=packet.hops + 1)
         home = parts.home_of(bucket)
-        if parts.is_me(home) or self._stands_in(bucket, now):
+        if parts.is_this_agent(home) or self._stands_in(bucket, now):
             self._pass_to_carriers(following)
         elif home is not None and not packet.hops:
             parts.out.to_peer(home.endpoint, following)
@@ -49,14 +49,14 @@
         """Whether this agent is heir of a home that is silent."""
         parts = self._parts
         home = parts.home_of(bucket)
-        if home is None or not parts.is_me(parts.heir_of(bucket)):
+        if home is None or not parts.is_this_agent(parts.heir_of(bucket)):
             return False
         return parts.links.is_silent(parse_endpoint(home.endpoint), now)
 
     def _pass_to_carriers(self, packet: Packet) -> None:
         flows = self._parts.store.flows
         carriers = flows.carriers(packet.caller, packet.service)
-        for carrier in carriers - {self._parts.me.carrier}:
+        for carrier in carriers - {self._parts.identity.carrier}:
             endpoint = self._parts.endpoint_of_carrier(carrier)
             if endpoint is not None:
                 self._parts.out.to_peer(endpoint, packet)
--- a/redwingstream/agent/replies.py
+++ b/redwingstream/agent/replies.py
@@ -39,7 +39,7 @@
     ) -> bytes:
         """Return the packet that refuses a request, with when to come back."""
         self._parts.metrics.count(f'refused_{reason.name.lower()}')
-        self._parts.gauge.refused(now)
+        self._parts.gauge.record_refused(now)
         overload = self._parts.gauge.overload(now)
         delay = self._parts.come_back.delay(reason, overload)
         return told(request, NotRun(reason, delay))
--- a/redwingstream/agent/reports.py
+++ b/redwingstream/agent/reports.py
@@ -69,8 +69,8 @@
         parts = self._parts
         homes = {
             home.endpoint
-            for bucket in range(parts.me.buckets)
-            if parts.is_me(parts.heir_of(bucket))
+            for bucket in range(parts.identity.buckets)
+            if parts.is_this_agent(parts.heir_of(bucket))
             and (home := parts.home_of(bucket)) is not None
         }
         for endpoint in homes:
@@ -82,8 +82,8 @@
             parts.is_leaving or parts.is_zone_out() or parts.server_is_silent
         )
         report = LoadReport(
-            host=parts.me.host,
-            incarnation=parts.me.incarnation,
+            host=parts.identity.host,
+            incarnation=parts.identity.incarnation,
             in_flight=parts.limit.in_flight,
             limit=parts.limit.limit if takes_work else 0,
             flows=len(parts.feeds),
@@ -97,9 +97,11 @@
         return 0 if limit.is_cold else limit.expected_latency or 0
 
     def _next_peers(self) -> list[ViewMember]:
-        view = self._parts.tables.view_by_pool.get(self._parts.me.pool)
+        view = self._parts.tables.view_by_pool.get(self._parts.identity.pool)
         members = () if view is None else view.members
-        others = [peer for peer in members if not self._parts.is_me(peer)]
+        others = [
+            peer for peer in members if not self._parts.is_this_agent(peer)
+        ]
         if len(others) <= REPORTED_PEERS:
             return others
         start = self._turn % len(others)
@@ -112,7 +114,7 @@
         for record in parts.feeds.records():
             key = record.key
             home = parts.home_of(parts.bucket_of(key.caller, key.service))
-            if home is not None and not parts.is_me(home):
+            if home is not None and not parts.is_this_agent(home):
                 records_by_home.setdefault(home.endpoint, []).append(record)
         for endpoint, records in records_by_home.items():
             self._send_feeds(endpoint, records)
@@ -120,5 +122,5 @@
     def _send_feeds(self, endpoint: str, records: list[FlowRecord]) -> None:
         for start in range(0, len(records), RECORDS_IN_MESSAGE):
             part = tuple(records[start : start + RECORDS_IN_MESSAGE])
-            message = CarriedFeeds(self._parts.me.pool, part)
+            message = CarriedFeeds(self._parts.identity.pool, part)
             self._parts.out.to_peer(endpoint, message)
--- a/redwingstream/agent/endings.py
+++ b/redwingstream/agent/request_endings.py
@@ -2,10 +2,10 @@
 
 from aiocoap.message import Message
 
-from redwingstream.agent.effects import PerformEffects
+from redwingstream.agent.effects import PerformKeeperEffects
 from redwingstream.agent.parts import AgentParts
 from redwingstream.agent.replies import Replies
-from redwingstream.agent.runs import Run, RunEnd, key_of
+from redwingstream.agent.runs import Run, RunEnd, request_key
 from redwingstream.errors import ResultCode
 from redwingstream.forwarding.messages import Packet
 from redwingstream.placement.effects import InEffect
@@ -18,7 +18,7 @@
 _REPEATABLE = frozenset((RequestState.ANSWERED, RequestState.NOT_RUN))
 
 
-class Endings:
+class RequestEndings:
     """Ends requests so that whoever is asked later says the same.
 
     Parameters
@@ -32,23 +32,23 @@
     """
 
     def __init__(
-        self, parts: AgentParts, replies: Replies, perform: PerformEffects
+        self, parts: AgentParts, replies: Replies, perform: PerformKeeperEffects
     ) -> None:
         self._parts = parts
         self._ledger = parts.store.ledger
         self._replies = replies
         self._perform = perform
 
-    def is_sure(self, bucket: int) -> bool:
+    def is_ledger_complete(self, bucket: int) -> bool:
         """Whether the ledger knows of every earlier run in the bucket."""
         return isinstance(self._parts.keeper.status(bucket), InEffect)
 
-    def ended(self, end: RunEnd, now: float) -> None:
+    def handle_run_end(self, end: RunEnd, now: float) -> None:
         """Take the end of a run: remember it, answer, tell the heir."""
         run = end.run
         self._ledger.finish(run.key, run.checksum, end.state, end.answer, now)
         self._replies.send(run.packet, end.answer)
-        if self.is_sure(run.bucket):
+        if self.is_ledger_complete(run.bucket):
             self._tell_heir(run, now)
         else:
             self._tell_next_home(end)
@@ -57,7 +57,7 @@
         """Tell that a request may have run, and remember it so."""
         self._parts.store.release(run.identity)
         answer = self._replies.unknown(run.request)
-        self.ended(RunEnd(run, RequestState.UNKNOWN, answer), now)
+        self.handle_run_end(RunEnd(run, RequestState.UNKNOWN, answer), now)
 
     def end_unrecorded(self, run: Run, reason: ResultCode, now: float) -> None:
         """Tell that a request has not run that no heir has acknowledged."""
@@ -65,7 +65,7 @@
         self._ledger.abandon(run.key, run.checksum, answer, now)
         self._replies.send(run.packet, answer)
 
-    def hand_on(self, run: Run, now: float) -> None:
+    def forward_to_next_home(self, run: Run, now: float) -> None:
         """Let the next home decide on what surely has not run here.
 
         Notes
@@ -75,7 +75,7 @@
         from the next home, which would otherwise have to say so too.
         """
         home = self._parts.home_of(run.bucket)
-        if home is None or self._parts.is_me(home):
+        if home is None or self._parts.is_this_agent(home):
             self.end_unknown(run, now)
             return
         self._parts.metrics.count('handed_on')
@@ -84,10 +84,10 @@
         self._ledger.finish(run.key, run.checksum, unknown, b'', now)
         self._parts.out.to_peer(home.endpoint, run.packet)
 
-    def tell_what_is_known(self, run: Run, now: float) -> None:
+    def answer_from_ledger(self, run: Run, now: float) -> None:
         """Answer a request that another home has recorded meanwhile."""
         self._parts.store.release(run.identity)
-        entry = self.known_answer(run.packet, run.request)
+        entry = self.find_known_answer(run.packet, run.request)
         if entry is None:
             self.end_unknown(run, now)
             return
@@ -96,11 +96,11 @@
         )
         self._replies.send(run.packet, entry.answer)
 
-    def known_answer(
+    def find_known_answer(
         self, packet: Packet, request: Message
     ) -> LedgerEntry | None:
         """Return what is surely known of a request, also by an heir."""
-        key = key_of(packet, request)
+        key = request_key(packet, request)
         entry = self._ledger.entry(key, request_checksum(request))
         if entry is None or entry.state not in _REPEATABLE:
             return None
@@ -122,5 +122,5 @@
 
     def _tell_next_home(self, end: RunEnd) -> None:
         home = self._parts.home_of(end.run.bucket)
-        if home is not None and not self._parts.is_me(home):
+        if home is not None and not self._parts.is_this_agent(home):
             self._parts.out.to_peer(home.endpoint, end.as_outcome())
--- a/redwingstream/agent/role.py
+++ b/redwingstream/agent/role.py
@@ -94,7 +94,7 @@
         if self._sockets is not None:
             self._sockets.replace(source)
 
-    def hear_revision(self, revision: int, endpoint: str) -> None:
+    def fetch_if_newer(self, revision: int, endpoint: str) -> None:
         """Fetch newer tables."""
         self._node.follower.hear(revision, parse_endpoint(endpoint))
 
@@ -113,20 +113,20 @@
     def _adopt(self) -> None:
         node = self._node
         incarnation = node.announcer.incarnation
-        self._runner.adopt(self._tables(), incarnation, node.now)
+        self._runner.apply_tables(self._tables(), incarnation, node.now)
 
     def _on_frame(self, message: AgentMessage, source: Endpoint) -> None:
-        self._runner.take(message, str(source), self._node.now)
+        self._runner.handle_frame(message, str(source), self._node.now)
 
     def _on_probe_ack(self, ack: ProbeAck, source: Endpoint) -> None:
-        self._runner.heard(str(source))
+        self._runner.record_heard(str(source))
         self._node.follower.hear(ack.revision, source)
 
     def _on_server(self, packet: bytes, source: int) -> None:
-        self._runner.take_from_server(packet, source, self._node.now)
+        self._runner.handle_server_packet(packet, source, self._node.now)
 
     def _on_refused(self) -> None:
-        self._runner.server_refused(self._node.now)
+        self._runner.handle_server_unreachable(self._node.now)
 
     async def _tick(self) -> None:
         adopted = 0
--- a/redwingstream/agent/runner.py
+++ b/redwingstream/agent/runner.py
@@ -74,7 +74,9 @@
         self._is_leaving = False
         self._revision = 0
 
-    def adopt(self, tables: Tables, incarnation: int, now: float) -> None:
+    def apply_tables(
+        self, tables: Tables, incarnation: int, now: float
+    ) -> None:
         """Go by newer tables, or by a newer incarnation.
 
         Parameters
@@ -98,29 +100,33 @@
         if is_admitted and not self._is_run(incarnation):
             self._start(tables, incarnation, now)
         if self.core is not None:
-            self.core.follow(tables, now)
+            self.core.apply_tables(tables, now)
 
-    def take(self, message: AgentMessage, source: str, now: float) -> None:
+    def handle_frame(
+        self, message: AgentMessage, source: str, now: float
+    ) -> None:
         """Take a frame of another process."""
         if self.core is None:
             self._metrics.count('frame_before_admission')
             return
-        self.core.take(message, source, now)
+        self.core.handle_message(message, source, now)
 
-    def heard(self, source: str) -> None:
+    def record_heard(self, source: str) -> None:
         """Note a sign of life of another process."""
         if self.core is not None:
             self.core.parts.links.heard(parse_endpoint(source))
 
-    def take_from_server(self, packet: bytes, source: int, now: float) -> None:
+    def handle_server_packet(
+        self, packet: bytes, source: int, now: float
+    ) -> None:
         """Take a packet of the backend server."""
         if self.core is not None:
-            self.core.take_from_server(packet, source, now)
+            self.core.handle_server_packet(packet, source, now)
 
-    def server_refused(self, now: float) -> None:
+    def handle_server_unreachable(self, now: float) -> None:
         """Take the hint that nobody listens at the server's address."""
         if self.core is not None:
-            self.core.server_refused(now)
+            self.core.handle_server_unreachable(now)
 
     def tick(self, now: float) -> None:
         """Do what is due."""
@@ -146,13 +152,13 @@
         view = tables.view_by_pool.get(self._setup.pool)
         if view is None:
             return True
-        is_in_view = any(map(self.core.parts.is_me, view.members))
+        is_in_view = any(map(self.core.parts.is_this_agent, view.members))
         return not is_in_view and not view.unsettled
 
     def give_up(self, now: float) -> None:
         """End what has not finished: the time to leave is up."""
         if self.core is not None:
-            self.core.give_up(now)
+            self.core.end_unfinished(now)
 
     def vitals(self) -> Vitals:
         """Return what the heartbeat says of this agent."""
@@ -169,7 +175,7 @@
     def _is_run(self, incarnation: int) -> bool:
         if self.core is None:
             return False
-        return self.core.parts.me.incarnation == incarnation
+        return self.core.parts.identity.incarnation == incarnation
 
     def _start(self, tables: Tables, incarnation: int, now: float) -> None:
         setup = self._setup
--- a/redwingstream/agent/runs.py
+++ b/redwingstream/agent/runs.py
@@ -43,7 +43,7 @@
     @property
     def key(self) -> RequestKey:
         """What names the request in a ledger."""
-        return key_of(self.packet, self.request)
+        return request_key(self.packet, self.request)
 
     @property
     def identity(self) -> Identity:
@@ -75,7 +75,7 @@
         return RunOutcome(run.key, self.state, self.answer, run.checksum)
 
 
-def key_of(packet: Packet, request: Message) -> RequestKey:
+def request_key(packet: Packet, request: Message) -> RequestKey:
     """Return what names a request."""
     return RequestKey(packet.caller, packet.service, request.mid, request.token)
 
--- a/redwingstream/agent/server_side.py
+++ b/redwingstream/agent/server_effects.py
@@ -1,6 +1,6 @@
 """Carries out what the server's side of an agent asks for."""
 
-from redwingstream.agent.carrier import Carrier
+from redwingstream.agent.carrier import RequestExecutor
 from redwingstream.agent.feeds import FeedRelay
 from redwingstream.agent.parts import AgentParts
 from redwingstream.flows.effects import (
@@ -15,7 +15,7 @@
 )
 
 
-class ServerSide:
+class ServerEffectHandler:
     """Hands each effect to who it concerns.
 
     Parameters
@@ -31,7 +31,7 @@
         Feeds; set by the core.
     """
 
-    carrier: Carrier
+    executor: RequestExecutor
     feeds: FeedRelay
 
     def __init__(self, parts: AgentParts) -> None:
@@ -47,9 +47,9 @@
             case SendToServer(packet, source):
                 self._parts.out.to_server(packet, source)
             case Responded(owner, response):
-                self.carrier.responded(owner, response, now)
+                self.executor.handle_response(owner, response, now)
             case Failed(owner, state, why):
-                self.carrier.failed(owner, state, why, now)
+                self.executor.handle_failure(owner, state, why, now)
             case FeedUpdate(owner, notification):
                 self.feeds.updated(owner, notification, now)
             case FeedEnded(owner, why, response):
@@ -62,7 +62,7 @@
     def _restarted(self, now: float) -> None:
         self._parts.metrics.count('server_restarted')
         self._parts.limit.server_restarted(now)
-        self.feeds.openings.server_restarted(now)
+        self.feeds.openings.handle_server_restart(now)
 
     def _silent(self, source: int, now: float, *, is_link: bool) -> None:
         """Replace a silent link; place new work elsewhere if it is the server.
--- a/redwingstream/agent/status.py
+++ b/redwingstream/agent/status.py
@@ -12,7 +12,7 @@
     keeper = parts.keeper
     return {
         'admitted': True,
-        'incarnation': parts.me.incarnation,
+        'incarnation': parts.identity.incarnation,
         'in_flight': parts.limit.in_flight,
         'limit': parts.limit.limit,
         'feed_limit': parts.feed_limit.limit,
@@ -24,7 +24,7 @@
         'settled_view': keeper.settled_view(),
         'buckets': {
             bucket: type(keeper.status(bucket)).__name__
-            for bucket in range(parts.me.buckets)
+            for bucket in range(parts.identity.buckets)
         },
         'upstream': attrs.asdict(parts.upstream.counters),
         'feed_counters': attrs.asdict(parts.feeds.counters),
--- a/redwingstream/agent/tests/fake_caller.py
+++ b/redwingstream/agent/tests/fake_caller.py
@@ -27,7 +27,7 @@
 
 
 @attrs.define(eq=False)
-class Asked:
+class SentRequest:
     """A request of the caller and what came of it.
 
     Parameters
@@ -73,7 +73,7 @@
         Whether a final answer has ended it.
     """
 
-    request: Asked
+    request: SentRequest
     observe: int | None = None
     seen_at: list[float] = attrs.Factory(list)
     ended: bool = False
@@ -110,7 +110,7 @@
         self.address = address
         self.wrong_answers = 0
         self.watched_by_token: dict[bytes, Watched] = {}
-        self._asked_by_token: dict[bytes, Asked] = {}
+        self._asked_by_token: dict[bytes, SentRequest] = {}
         self._service = service
         self.balancers = balancers
         self._gone_at: dict[str, float] = {}
@@ -119,15 +119,15 @@
         self._message_id = self._rng.randrange(coap.MESSAGE_ID_LIMIT)
         exchange.process_by_address[address] = self
 
-    def post(self, body: bytes, deadline: float | None = None) -> Asked:
+    def post(self, body: bytes, deadline: float | None = None) -> SentRequest:
         """Send a non-idempotent request."""
         return self._ask(Message(code=coap.POST, payload=body), deadline)
 
-    def get(self, body: bytes, deadline: float | None = None) -> Asked:
+    def get(self, body: bytes, deadline: float | None = None) -> SentRequest:
         """Send an idempotent request."""
         return self._ask(Message(code=coap.GET, payload=body), deadline)
 
-    def get_block(self, body: bytes, number: int) -> Asked:
+    def get_block(self, body: bytes, number: int) -> SentRequest:
         """Ask for one block of an answer."""
         request = Message(code=coap.GET, payload=body)
         request.opt.block2 = (number, False, BLOCK_SIZE)
@@ -164,11 +164,13 @@
         packet = CallerPacket(self.address, self._service, payload)
         self._exchange.send(self.address, balancer, packet)
 
-    def ask_again(self, asked: Asked, body: bytes) -> Asked:
+    def reuse_identifiers(self, asked: SentRequest, body: bytes) -> SentRequest:
         """Use message id and token of a request for another one."""
         message = coap.decode(asked.packet)
         message.payload = body
-        again = Asked(body, coap.encode(message), asked.message_id, asked.token)
+        again = SentRequest(
+            body, coap.encode(message), asked.message_id, asked.token
+        )
         self._asked_by_token[asked.token] = again
         self._transmit(again, COPIES, FIRST_REPEAT)
         return again
@@ -186,7 +188,9 @@
             if each in living or self._gone_at[each] > noticed_before
         )
 
-    def _ask(self, request: Message, deadline: float | None = None) -> Asked:
+    def _ask(
+        self, request: Message, deadline: float | None = None
+    ) -> SentRequest:
         self._message_id = (self._message_id + 1) % coap.MESSAGE_ID_LIMIT
         request.mtype = coap.CON
         request.mid = self._message_id
@@ -194,12 +198,12 @@
         if deadline is not None:
             coap.set_deadline(request, deadline)
         packet = coap.encode(request)
-        asked = Asked(request.payload, packet, request.mid, request.token)
+        asked = SentRequest(request.payload, packet, request.mid, request.token)
         self._asked_by_token[asked.token] = asked
         self._transmit(asked, COPIES, FIRST_REPEAT)
         return asked
 
-    def _transmit(self, asked: Asked, copies: int, wait: float) -> None:
+    def _transmit(self, asked: SentRequest, copies: int, wait: float) -> None:
         if not copies or asked.answer is not None:
             return
         self.send(asked.packet)
--- a/redwingstream/agent/tests/fake_server.py
+++ b/redwingstream/agent/tests/fake_server.py
@@ -60,7 +60,7 @@
         self.run_time = RUN_TIME
         self.is_silent = False
         self.refuse_feeds = False
-        self.falls = 0
+        self.overloads = 0
         self.in_flight = 0
         self.taken = 0
         self._exchange = exchange
@@ -130,7 +130,7 @@
         self.in_flight += 1
         self.taken += 1
         if self.in_flight > self._slots:
-            self.falls += 1
+            self.overloads += 1
             self.restart()
             return
         if not coap.is_idempotent(request):
--- a/redwingstream/agent/tests/matrix.py
+++ b/redwingstream/agent/tests/matrix.py
@@ -11,7 +11,11 @@
 import attrs
 
 from redwingstream.agent.tests.exchange import Frame
-from redwingstream.agent.tests.fake_caller import Asked, FakeCaller, Watched
+from redwingstream.agent.tests.fake_caller import (
+    SentRequest,
+    FakeCaller,
+    Watched,
+)
 from redwingstream.agent.tests.faults import FAULT_BY_NAME, PAIR_LOST
 from redwingstream.agent.tests.pool import FakePool
 from redwingstream.agent.tests.steps import BODY, STEPS, Step
@@ -37,7 +41,7 @@
     step: Step
     fault: str
     pool: FakePool = attrs.field(init=False)
-    asked: list[Asked] = attrs.Factory(list)
+    asked: list[SentRequest] = attrs.Factory(list)
     watched: Watched | None = None
     caller: FakeCaller | None = None
     happened_at: float | None = None
@@ -182,7 +186,7 @@
         if cell.caller.wrong_answers:
             broken.append('an answer to another request')
         falls = sum(
-            server.falls for server in cell.pool.server_by_host.values()
+            server.overloads for server in cell.pool.server_by_host.values()
         )
         if falls:
             broken.append('a server was above what it bears')
@@ -199,7 +203,7 @@
         return Counter(self.told)
 
 
-def _broken(cell: Cell, asked: Asked) -> list[str]:
+def _broken(cell: Cell, asked: SentRequest) -> list[str]:
     runs = cell.pool.runs(asked.body)
     name = asked.body.decode()
     broken = []
--- a/redwingstream/agent/tests/pool.py
+++ b/redwingstream/agent/tests/pool.py
@@ -122,7 +122,7 @@
                 self.to_peer(frame.source, self.tables)
             case Probe(revision):
                 self.to_peer(frame.source, ProbeAck(self.tables.revision))
-                self.hear_revision(revision, frame.source)
+                self.fetch_if_newer(revision, frame.source)
             case _:
                 self._take(frame, now)
 
@@ -146,7 +146,7 @@
     def replace_source(self, source: int) -> None:
         """Do nothing: sockets are not faked."""
 
-    def hear_revision(self, revision: int, endpoint: str) -> None:
+    def fetch_if_newer(self, revision: int, endpoint: str) -> None:
         """Fetch newer tables."""
         if revision > self.tables.revision:
             self.to_peer(endpoint, Fetch())
@@ -154,15 +154,15 @@
     def _take(self, frame: Frame, now: float) -> None:
         match frame.payload:
             case ServerPacket(payload, source):
-                self.runner.take_from_server(payload, source, now)
+                self.runner.handle_server_packet(payload, source, now)
             case ProbeAck(revision):
-                self.runner.heard(frame.source)
-                self.hear_revision(revision, frame.source)
+                self.runner.record_heard(frame.source)
+                self.fetch_if_newer(revision, frame.source)
             case _:
-                self.runner.take(frame.payload, frame.source, now)
+                self.runner.handle_frame(frame.payload, frame.source, now)
 
     def _adopt(self, now: float) -> None:
-        self.runner.adopt(self.tables, self._incarnation, now)
+        self.runner.apply_tables(self.tables, self._incarnation, now)
 
 
 class Balancer:
@@ -258,7 +258,7 @@
                 if process.tables.revision < revision:
                     self._exchange.send(CONTROL, endpoint, self.tables)
 
-    def come_back(self) -> None:
+    def restart(self) -> None:
         """Be there again, as a new leader that waits for a lease's time."""
         self._heard_at.clear()
         self._exchange.process_by_address[CONTROL] = self
--- a/redwingstream/agent/tests/soak.py
+++ b/redwingstream/agent/tests/soak.py
@@ -6,7 +6,11 @@
 import attrs
 
 from redwingstream.agent.tests.exchange import Frame
-from redwingstream.agent.tests.fake_caller import Asked, FakeCaller, Watched
+from redwingstream.agent.tests.fake_caller import (
+    SentRequest,
+    FakeCaller,
+    Watched,
+)
 from redwingstream.agent.tests.fake_server import ServerPacket
 from redwingstream.agent.tests.pool import CONTROL, FakePool
 from redwingstream.agent.tests.support import warm_up
@@ -39,7 +43,7 @@
     seed: int
     faults_at_once: int
     pool: FakePool = attrs.field(init=False)
-    asked: list[Asked] = attrs.Factory(list)
+    asked: list[SentRequest] = attrs.Factory(list)
     watched: list[Watched] = attrs.Factory(list)
     callers: list[FakeCaller] = attrs.Factory(list)
     _faulty: set[str] = attrs.Factory(set)
@@ -179,7 +183,7 @@
 
     def _lose_control(self, seconds: float) -> None:
         self.pool.kill(CONTROL)
-        self.pool.exchange.call_later(seconds, self.pool.control.come_back)
+        self.pool.exchange.call_later(seconds, self.pool.control.restart)
 
     def _drain(self, seconds: float) -> None:
         host = self._choose_host(seconds)
--- a/redwingstream/agent/tests/support.py
+++ b/redwingstream/agent/tests/support.py
@@ -22,7 +22,9 @@
 def warm_up(pool: FakePool) -> None:
     """Let every server reach its full limit."""
     for host in pool.living():
-        pool.agent(host).core.parts.limit.expect(_EXPECTED_LATENCY)
+        pool.agent(host).core.parts.limit.set_expected_latency(
+            _EXPECTED_LATENCY
+        )
     callers = [
         pool.caller(_FIRST_WARM_UP_CALLER + number)
         for number in range(_WARM_UP_CALLERS)
@@ -34,13 +36,13 @@
     pool.run(1)
 
 
-def caller_of(pool: FakePool, host: str) -> FakeCaller:
+def caller_with_home(pool: FakePool, host: str) -> FakeCaller:
     """Return a caller whose home is a host once all agents serve."""
     callers = (pool.caller(number) for number in itertools.count(1))
     return next(each for each in callers if pool.home_of_all(each) == host)
 
 
-def lose(pool: FakePool, *kinds: type, to: str = '') -> None:
+def drop_frames(pool: FakePool, *kinds: type, to: str = '') -> None:
     """Lose every frame of some kinds from now on."""
 
     def inspect(frame: Frame) -> tuple[float, ...] | None:
@@ -54,7 +56,7 @@
 def hold_slots(pool: FakePool, host: str) -> None:
     """Leave no room at the server of a host."""
     limit = pool.agent(host).core.parts.limit
-    while limit.has_room(pool.exchange.now):
+    while limit.can_start(pool.exchange.now):
         limit.try_start(pool.exchange.now)
 
 
--- a/redwingstream/agent/tests/test_feeds.py
+++ b/redwingstream/agent/tests/test_feeds.py
@@ -11,7 +11,7 @@
 from redwingstream.agent.tests.support import (
     carriers,
     hold_slots,
-    lose,
+    drop_frames,
     settled_pool,
     warm_up,
 )
@@ -238,7 +238,7 @@
         caller = pool.caller()
         watched = caller.watch()
         pool.run(2)
-        lose(pool, TakeFeed)
+        drop_frames(pool, TakeFeed)
         pool.leave(pool.pair(caller)[0])
         pool.run(seconds)
         pool.exchange.inspect = None
@@ -259,7 +259,7 @@
         for host in pool.hosts:
             pool.server_by_host[host].restart()
             pool.kill(f'server of {host}')
-            pool.agent(host).runner.server_refused(pool.exchange.now)
+            pool.agent(host).runner.handle_server_unreachable(pool.exchange.now)
         sent: list[Frame] = []
         pool.exchange.inspect = lambda frame: _note(frame, FeedMove, sent)
         pool.run(5)
--- a/redwingstream/agent/tests/test_input.py
+++ b/redwingstream/agent/tests/test_input.py
@@ -82,7 +82,7 @@
         pool = settled_pool(hosts=1)
         agent = pool.agent(pool.hosts[0])
         for payload in payloads:
-            agent.core.take(
+            agent.core.handle_message(
                 _packet(payload), '10.0.1.1:7000', pool.exchange.now
             )
             pool.run(0.05)
@@ -100,7 +100,7 @@
         pool.run(0.01)
         agent = pool.agent(pool.hosts[0])
         for payload in payloads:
-            agent.core.take_from_server(payload, source, pool.exchange.now)
+            agent.core.handle_server_packet(payload, source, pool.exchange.now)
         pool.run(3)
 
     @settings(max_examples=100)
@@ -113,10 +113,10 @@
             packet=_packet(payload),
             home=home,
             generation=0,
-            carrier_incarnation=core.parts.me.incarnation,
+            carrier_incarnation=core.parts.identity.incarnation,
             wants_outcome=is_once,
         )
-        core.take(message, home, pool.exchange.now)
+        core.handle_message(message, home, pool.exchange.now)
         pool.run(3)
 
     def test_endless_deadline(self) -> None:
@@ -133,13 +133,17 @@
         )
         payload = coap.encode(message)
         core = pool.agent(pool.hosts[0]).core
-        core.take(_packet(payload), '10.0.1.1:7000', pool.exchange.now)
+        core.handle_message(
+            _packet(payload), '10.0.1.1:7000', pool.exchange.now
+        )
         assert _still_serves(pool)
 
     def test_counted(self) -> None:
         pool = settled_pool(hosts=1)
         agent = pool.agent(pool.hosts[0])
-        agent.core.take(_packet(b'x'), '10.0.1.1:7000', pool.exchange.now)
+        agent.core.handle_message(
+            _packet(b'x'), '10.0.1.1:7000', pool.exchange.now
+        )
         assert agent.metrics.total_by_name['caller_malformed'] == 1
 
     def test_outcome_of_nothing(self) -> None:
@@ -147,7 +151,7 @@
         agent = pool.agent(pool.hosts[0])
         key = RequestKey(CALLER, SERVICE, 1, b'')
         outcome = RunOutcome(key, RequestState.ANSWERED, b'')
-        agent.core.take(outcome, '10.0.0.9:7000', pool.exchange.now)
+        agent.core.handle_message(outcome, '10.0.0.9:7000', pool.exchange.now)
         assert agent.metrics.total_by_name['outcome_late'] == 1
 
 
@@ -173,7 +177,7 @@
         seen = []
         pool.exchange.inspect = seen.append
         packet = _packet(_message(coap.POST), **changes)
-        agent.core.take(packet, '10.0.1.1:7000', pool.exchange.now)
+        agent.core.handle_message(packet, '10.0.1.1:7000', pool.exchange.now)
         pool.run(0.01)
         kinds = [type(frame.payload) for frame in seen]
         assert ProbeAck in kinds
@@ -195,7 +199,7 @@
         pool.run(1)
         agent = pool.agent(pool.hosts[0])
         packet = _packet(_message(coap.POST))
-        agent.core.take(packet, '10.0.1.1:7000', pool.exchange.now)
+        agent.core.handle_message(packet, '10.0.1.1:7000', pool.exchange.now)
         pool.run(1)
         assert not pool.runs(b'bay 7')
         assert agent.metrics.total_by_name['misrouted'] == 1
@@ -213,9 +217,9 @@
             packet=_packet(_message(coap.POST)),
             home=home,
             generation=0,
-            carrier_incarnation=core.parts.me.incarnation - 1,
+            carrier_incarnation=core.parts.identity.incarnation - 1,
             wants_outcome=True,
         )
-        core.take(message, home, pool.exchange.now)
+        core.handle_message(message, home, pool.exchange.now)
         pool.run(1)
         assert not pool.runs(b'bay 7')
--- a/redwingstream/agent/tests/test_leaving.py
+++ b/redwingstream/agent/tests/test_leaving.py
@@ -4,10 +4,10 @@
 
 from redwingstream.agent.tests.pool import FakePool
 from redwingstream.agent.tests.support import (
-    caller_of,
+    caller_with_home,
     carriers,
     hold_slots,
-    lose,
+    drop_frames,
     settled_pool,
     warm_up,
 )
@@ -86,7 +86,7 @@
         caller = pool.caller()
         home, _ = pool.pair(caller)
         hold_slots(pool, home)
-        lose(pool, RunOutcome)
+        drop_frames(pool, RunOutcome)
         asked = caller.post(b'bay 7')
         pool.run(0.5)
         pool.agent(home).runner.give_up(pool.exchange.now)
@@ -153,7 +153,7 @@
         host = carriers(pool)[0]
         assert host != home
         if is_cut:
-            lose(pool, Tables, to=pool.endpoint_by_host[host])
+            drop_frames(pool, Tables, to=pool.endpoint_by_host[host])
         pool.control.mark_zone(pool.zone_by_host[host], is_out=True)
         pool.run(2)
         assert watched.ended
@@ -204,7 +204,7 @@
     def test_go_on_at_the_same_server_after_a_move(self) -> None:
         pool = FakePool(hosts=3, started=2)
         pool.run(3)
-        caller = caller_of(pool, pool.hosts[-1])
+        caller = caller_with_home(pool, pool.hosts[-1])
         home, _ = pool.pair(caller)
         caller.get_block(b'report', 0)
         pool.run(0.5)
--- a/redwingstream/agent/tests/test_requests.py
+++ b/redwingstream/agent/tests/test_requests.py
@@ -9,12 +9,12 @@
     RETRY_RESERVE,
 )
 from redwingstream.agent.tests.exchange import Frame
-from redwingstream.agent.tests.fake_caller import Asked, FakeCaller
+from redwingstream.agent.tests.fake_caller import SentRequest, FakeCaller
 from redwingstream.agent.tests.pool import FakePool
 from redwingstream.agent.tests.support import (
-    caller_of,
+    caller_with_home,
     hold_slots,
-    lose,
+    drop_frames,
     settled_pool,
     warm_up,
 )
@@ -40,13 +40,13 @@
         """
         pool = FakePool(hosts=3, started=2)
         pool.run(3)
-        caller = caller_of(pool, pool.hosts[-1])
+        caller = caller_with_home(pool, pool.hosts[-1])
         home, _ = pool.pair(caller)
         endpoint = pool.endpoint_by_host[home]
-        lose(pool, Answer)
+        drop_frames(pool, Answer)
         asked = caller.post(b'bay 7')
         pool.run(0.5)
-        lose(pool, Tables, to=endpoint)
+        drop_frames(pool, Tables, to=endpoint)
         pool.start(pool.hosts[-1])
         pool.run(1)
         _send_replay(pool, caller, asked, endpoint)
@@ -70,7 +70,7 @@
         caller = pool.caller()
         home, heir = pool.pair(caller)
         endpoint = pool.endpoint_by_host[heir]
-        lose(pool, Answer)
+        drop_frames(pool, Answer)
         asked = caller.post(b'bay 7')
         pool.run(lifetime)
         pool.kill(pool.endpoint_by_host[home])
@@ -96,7 +96,7 @@
         pool.server_by_host[home].run_time = 3.0
         asked = caller.post(b'bay 7')
         pool.run(1)
-        lose(pool, Tables)
+        drop_frames(pool, Tables)
         for balancer in pool.balancers:
             pool.start_balancer(balancer)
         pool.run(2)
@@ -113,7 +113,7 @@
         """
         pool = settled_pool(hosts=4)
         caller = pool.caller()
-        lose(pool, Answer)
+        drop_frames(pool, Answer)
         asked = caller.post(b'bay 7')
         pool.run(0.2)
         for host in pool.pair(caller):
@@ -133,7 +133,7 @@
         """
         pool = FakePool(hosts=3, started=2)
         pool.run(3)
-        caller = caller_of(pool, pool.hosts[-1])
+        caller = caller_with_home(pool, pool.hosts[-1])
         home, _ = pool.pair(caller)
         parts = pool.agent(home).core.parts
         asked = caller.post(b'bay 7')
@@ -149,7 +149,7 @@
         pool.start(pool.hosts[-1])
         pool.run(3)
         assert pool.pair(caller)[0] == pool.hosts[-1]
-        again = caller.ask_again(asked, b'bay 7')
+        again = caller.reuse_identifiers(asked, b'bay 7')
         pool.run(3)
         assert again.outcome == 'unknown'
         assert pool.runs(b'bay 7') == 1
@@ -163,7 +163,7 @@
         caller = pool.caller()
         first = caller.post(b'bay 7')
         pool.run(1)
-        second = caller.ask_again(first, b'bay 8')
+        second = caller.reuse_identifiers(first, b'bay 8')
         pool.run(1)
         assert second.outcome == 'answered'
         assert pool.runs(b'bay 8') == 1
@@ -183,7 +183,7 @@
         hold_slots(pool, home)
         first = caller.post(b'bay 7')
         pool.run(0.4)
-        second = caller.ask_again(first, b'bay 8')
+        second = caller.reuse_identifiers(first, b'bay 8')
         pool.run(1)
         assert (first.outcome, second.outcome) == ('answered', 'answered')
         assert pool.runs(b'bay 8') == 1
@@ -196,7 +196,7 @@
     def test_heir_silent(self) -> None:
         pool = settled_pool()
         caller = pool.caller()
-        lose(pool, RecordAck)
+        drop_frames(pool, RecordAck)
         asked = caller.post(b'bay 7')
         pool.run(6)
         assert asked.outcome == 'not run'
@@ -222,7 +222,7 @@
         pool = settled_pool()
         caller = pool.caller()
         home, _ = pool.pair(caller)
-        lose(pool, Record)
+        drop_frames(pool, Record)
         asked = caller.post(b'bay 7')
         pool.run(0.2)
         pool.exchange.inspect = None
@@ -261,7 +261,7 @@
         caller = pool.caller()
         home, _ = pool.pair(caller)
         hold_slots(pool, home)
-        lose(pool, RunOutcome)
+        drop_frames(pool, RunOutcome)
         asked = caller.post(b'bay 7')
         pool.run(0.2)
         pool.kill(pool.endpoint_by_host[home])
@@ -284,7 +284,7 @@
         """
         pool = settled_pool()
         home = pool.hosts[0]
-        callers = [caller_of(pool, home)]
+        callers = [caller_with_home(pool, home)]
         caller = callers[0]
         warm = caller.post(b'bay 1')
         pool.run(1)
@@ -297,7 +297,7 @@
         pool.run(20)
         answered = [one for one in asked if one.outcome == 'answered']
         assert len(answered) >= len(asked) / 2
-        falls = [server.falls for server in pool.server_by_host.values()]
+        falls = [server.overloads for server in pool.server_by_host.values()]
         assert not any(falls)
 
 
@@ -346,7 +346,7 @@
         pool.exchange.inspect = functools.partial(_lose_assignments, sent)
         for number in range(40):
             hold_slots(pool, home)
-            caller_of(pool, home).post(str(number).encode())
+            caller_with_home(pool, home).post(str(number).encode())
             pool.run(0.1)
         pool.run(3)
         fresh = len({frame.payload.packet.payload for frame in sent})
@@ -379,7 +379,7 @@
 
 
 def _send_replay(
-    pool: FakePool, caller: FakeCaller, asked: Asked, endpoint: str
+    pool: FakePool, caller: FakeCaller, asked: SentRequest, endpoint: str
 ) -> None:
     balancer = pool.balancers[0]
     packet = Packet(
--- a/redwingstream/agent/tests/test_wait_queue.py
+++ b/redwingstream/agent/tests/test_wait_queue.py
@@ -54,8 +54,8 @@
         assert all(request.enter(0) for request in requests)
         for turn in (1, 2, 3):
             now = turn / 100
-            limit.finished(0.01, RunResult.COMPLETED, now)
-            room.serve(now)
+            limit.record_finished(0.01, RunResult.COMPLETED, now)
+            room.admit_waiting(now)
         admitted = [request.admitted_at for request in requests]
         assert admitted == [0.01, 0.02, 0.03]
 
@@ -63,7 +63,7 @@
         room, limit = busy_room()
         request = Request(room, limit)
         request.enter(0)
-        room.serve(0.1)
+        room.admit_waiting(0.1)
         assert request.admitted_at is None
         assert limit.in_flight == 1
 
@@ -71,15 +71,15 @@
         room, limit = busy_room()
         request = Request(room, limit)
         request.enter(0)
-        room.expire(LONGEST_WAIT)
+        room.refuse_expired(LONGEST_WAIT)
         assert request.refused_at == LONGEST_WAIT
 
     def test_late_slot_is_not_given(self) -> None:
         room, limit = busy_room()
         request = Request(room, limit)
         request.enter(0)
-        limit.finished(1, RunResult.COMPLETED, 1)
-        room.serve(1)
+        limit.record_finished(1, RunResult.COMPLETED, 1)
+        room.admit_waiting(1)
         assert request.admitted_at is None
         assert request.refused_at == 1
 
@@ -107,7 +107,7 @@
         """
         limit = ConcurrencyLimit(1, expected_latency=0.01)
         limit.try_start(0)
-        limit.finished(0.01, RunResult.REFUSED, 0.01)
+        limit.record_finished(0.01, RunResult.REFUSED, 0.01)
         room = WaitQueue(limit)
         assert not Request(room, limit).enter(0.02)
 
@@ -126,7 +126,7 @@
         asked = [caller.post(b'bay') for caller in callers]
         pool.run(0.3)
         assert {each.outcome for each in asked} == {'answered'}
-        assert not pool.server_by_host[pool.hosts[0]].falls
+        assert not pool.server_by_host[pool.hosts[0]].overloads
 
     def test_latency_is_learned_from_peers(self) -> None:
         """Bookings are refused for long at a host that has just started.
--- a/redwingstream/agent/wait_queue.py
+++ b/redwingstream/agent/wait_queue.py
@@ -74,21 +74,21 @@
         self._places.append(_Place(waiter, now + LONGEST_WAIT))
         return True
 
-    def serve(self, now: float) -> None:
+    def admit_waiting(self, now: float) -> None:
         """Give free slots to those who have waited longest."""
         if self._is_serving:
             # Entered again by a run that ends at once; the outer call goes on.
             return
         self._is_serving = True
-        self.expire(now)
-        while self._places and self._limit.has_room(now):
+        self.refuse_expired(now)
+        while self._places and self._limit.can_start(now):
             place = self._places.popleft()
             if not place.waiter.admitted(now):
                 self._places.appendleft(place)
                 break
         self._is_serving = False
 
-    def expire(self, now: float) -> None:
+    def refuse_expired(self, now: float) -> None:
         """Refuse those who have waited long enough."""
         while self._places and now >= self._places[0].until:
             self._places.popleft().waiter.refused(now)
--- a/redwingstream/directory/inquiry.py
+++ b/redwingstream/directory/inquiry.py
@@ -190,7 +190,7 @@
         if report.brings is Wanted.ALL:
             contact.boot = report.boot
             contact.cursor = report.cursor
-            agents = self.view.take(sender, report.boot, records, now)
+            agents = self.view.handle_records(sender, report.boot, records, now)
             self.view.is_complete |= report.has_heard_all
         has_new_tables = self._take_update(report)
         if self.history.tables.revision >= report.revision:
@@ -215,7 +215,7 @@
             return
         contact.note_answered(contact.pause, now)
         self._contacts.plan(contact, now)
-        self.view.take(sender, contact.boot, (), now)
+        self.view.handle_records(sender, contact.boot, (), now)
         self.view.is_complete = True
         confirmed_at = now - answer.confirmed_age
         self.confirmed_at = max(self.confirmed_at, confirmed_at)
--- a/redwingstream/directory/view.py
+++ b/redwingstream/directory/view.py
@@ -83,7 +83,7 @@
         """All agents; not to be changed from outside."""
         return self._agent_by_address
 
-    def of_pool(self, pool: str) -> tuple[Agent, ...]:
+    def agents_in_pool(self, pool: str) -> tuple[Agent, ...]:
         """Return the agents of a pool, in no particular order."""
         return self._agents_by_pool.get(pool, ())
 
@@ -91,7 +91,7 @@
         """Set the control instances whose answers are expected."""
         self._expected = controls
 
-    def answered_since(self, since: float, now: float) -> bool:
+    def all_answered_since(self, since: float, now: float) -> bool:
         """Whether all control instances that answer have done so since.
 
         An expected control instance counts even if it has not answered yet.
@@ -105,7 +105,7 @@
             answers = list(map(self._answered_at, self._expected))
         return bool(answers) and min(answers) > since
 
-    def take(
+    def handle_records(
         self,
         control: Address,
         boot: int,
--- a/redwingstream/fleet/agent.py
+++ b/redwingstream/fleet/agent.py
@@ -10,7 +10,7 @@
 from redwingstream.fleet.deployment import (
     AGENT_OFFSET,
     DEFAULT_IDLE_TIMEOUT,
-    Beside,
+    LocalServer,
 )
 from redwingstream.fleet.following import Following
 from redwingstream.fleet.process import Duty, Process
@@ -20,13 +20,13 @@
     note_tables,
     routes_by_service,
 )
-from redwingstream.fleet.sending import Outlet
-from redwingstream.openings.gate import Gate, Surroundings
-from redwingstream.packets.carrying import Carrying
+from redwingstream.fleet.packet_sender import PacketSender
+from redwingstream.openings.gate import Gate, PoolRules
+from redwingstream.packets.agent_forwarder import AgentForwarder
 from redwingstream.packets.envelopes import unpack_envelope
 from redwingstream.packets.flow import PacketCodec, address_of
-from redwingstream.packets.flowbook import FlowBook
-from redwingstream.packets.site import Place, Site
+from redwingstream.packets.agent_flows import AgentFlows
+from redwingstream.packets.agent_context import AgentLocation, AgentContext
 from redwingstream.tables.snapshot import Tables
 from redwingstream.wire.datagrams import open_datagrams
 
@@ -55,7 +55,7 @@
 
     def __init__(self, process: Process, codec: PacketCodec) -> None:
         deployment = process.deployment
-        beside = deployment.beside
+        beside = deployment.local_server
         packets = deployment.listening.packets
         if beside is None or packets is None:
             raise SettingError(
@@ -63,7 +63,7 @@
                 'packets; the settings name none',
             )
         self.process = process
-        self._beside: Beside = beside
+        self._beside: LocalServer = beside
         self._sequence = 0
         self._releasing: asyncio.TimerHandle | None = None
         self._address = address_of(packets.host, packets.port)
@@ -85,23 +85,23 @@
             process.log.write,
             self._make_record,
         )
-        self.site = Site(
-            Place(self._address, deployment.zone, beside.pool),
+        self.context = AgentContext(
+            AgentLocation(self._address, deployment.zone, beside.pool),
             codec,
             self.gate,
             inquirer.view,
-            FlowBook(DEFAULT_IDLE_TIMEOUT, deployment.flow_life),
+            AgentFlows(DEFAULT_IDLE_TIMEOUT, deployment.max_flow_age),
             process.log.write,
         )
-        self.carrying = Carrying(self.site, process.started_at)
-        self.reporting = Reporting(
+        self.forwarder = AgentForwarder(self.context, process.started_at)
+        self.server_reports = Reporting(
             process,
             beside.pool,
             self.gate,
-            self.site.flows,
+            self.context.flows,
             self.following.tell_all,
         )
-        self.outlet = Outlet(packets.port, beside.server)
+        self.outlet = PacketSender(packets.port, beside.server)
         process.when_reloaded(
             lambda fresh: self.following.follow_seeds(fresh.seed_addresses)
         )
@@ -129,14 +129,14 @@
             ):
                 yield self
 
-    async def leave(self) -> None:
+    async def prepare_stop(self) -> None:
         """Report to the control instances whether the server has ended.
 
         A flow is declared dead only once every agent that may hold it has
         answered.  A stopped agent does not answer, so it must be excluded if
         its server has ended.
         """
-        await self.reporting.check_server_ended(self._beside.server)
+        await self.server_reports.check_server_ended(self._beside.server)
         self.following.tell_all()
         await asyncio.sleep(REPEAT_AFTER)
         self.following.tell_all()
@@ -160,20 +160,22 @@
         if not learned.has_new_tables:
             return
         tables = inquirer.history.tables
-        self.site.refusing.revision = tables.revision
+        self.context.refusals.revision = tables.revision
         if tables.generation is not None:
-            self.site.flows.keep_for(tables.generation.idle_timeout)
+            self.context.flows.extend_idle_timeout(
+                tables.generation.idle_timeout
+            )
         self._set_around(tables)
         note_tables(self.process, inquirer)
 
     def _set_around(self, tables: Tables) -> None:
-        around = Surroundings.of(
+        around = PoolRules.from_tables(
             tables, self._beside.pool, self.process.deployment.zone
         )
-        if self.gate.around.is_zone_out and not around.is_zone_out:
-            self.gate.doubt_warmth(self.process.clock())
-        self.gate.around = around
-        self.site.timeout_by_service = {
+        if self.gate.rules.is_zone_out and not around.is_zone_out:
+            self.gate.assume_cold(self.process.clock())
+        self.gate.rules = around
+        self.context.timeout_by_service = {
             service: route.rules.timeout
             for service, route in routes_by_service(tables).items()
             if self._beside.pool in route.pools
@@ -181,34 +183,36 @@
 
     def _take_packet(self, datagram: bytes, source: tuple[str, int]) -> None:
         try:
-            sending = self.carrying.take(
+            sending = self.forwarder.handle_envelope(
                 unpack_envelope(datagram),
                 address_of(*source),
                 self.process.clock(),
             )
         except WireError:
-            self.site.counters.malformed += 1
+            self.context.counters.malformed += 1
             return
         self.outlet.send_all(sending)
         self._release_soon()
 
     def _release_soon(self) -> None:
-        if len(self.site.waiting) and self._releasing is None:
+        if len(self.context.waiting) and self._releasing is None:
             loop = asyncio.get_running_loop()
             self._releasing = loop.call_later(RELEASE_EVERY, self._release)
 
     def _release(self) -> None:
         self._releasing = None
-        self.outlet.send_all(self.carrying.release(self.process.clock()))
+        self.outlet.send_all(
+            self.forwarder.process_waiting(self.process.clock())
+        )
         self._release_soon()
 
     def _take_from_server(self, packet: bytes, source: tuple[str, int]) -> None:
         try:
-            sending = self.carrying.take_from_server(
+            sending = self.forwarder.handle_server_packet(
                 packet, self.process.clock()
             )
         except WireError:
-            self.site.counters.malformed += 1
+            self.context.counters.malformed += 1
             return
         self.outlet.send_all(sending)
 
@@ -216,5 +220,5 @@
         self.following.receive(datagram, source)
 
     def _keep_house(self, now: float) -> float:
-        self.outlet.send_all(self.carrying.tick(now))
+        self.outlet.send_all(self.forwarder.tick(now))
         return HOUSEKEEPING
--- a/redwingstream/fleet/balancer.py
+++ b/redwingstream/fleet/balancer.py
@@ -18,10 +18,10 @@
     note_tables,
     routes_by_service,
 )
-from redwingstream.fleet.sending import Outlet
+from redwingstream.fleet.packet_sender import PacketSender
 from redwingstream.packets.envelopes import MAGIC, unpack_envelope
 from redwingstream.packets.flow import PacketCodec, address_of
-from redwingstream.packets.steering import Steering
+from redwingstream.packets.balancer_forwarder import BalancerForwarder
 from redwingstream.wire.datagrams import open_datagrams
 
 HOUSEKEEPING = 0.2
@@ -62,7 +62,7 @@
         self.following = Following(
             inquirer, process.codec, self._learn, process.log.write
         )
-        self.steering = Steering(
+        self.forwarder = BalancerForwarder(
             address_of(own.host, own.port),
             deployment.zone,
             codec,
@@ -70,7 +70,7 @@
             process.log.write,
             DEFAULT_IDLE_TIMEOUT,
         )
-        self.outlet = Outlet(_port(deployment))
+        self.outlet = PacketSender(_port(deployment))
         process.when_reloaded(
             lambda fresh: self.following.follow_seeds(fresh.seed_addresses)
         )
@@ -101,9 +101,9 @@
             ):
                 yield self
 
-    async def leave(self) -> None:
+    async def prepare_stop(self) -> None:
         """Go on forwarding until the fabric has taken this balancer out."""
-        grace = self.process.deployment.grace
+        grace = self.process.deployment.grace_seconds
         await asyncio.sleep(max(0, min(LEAVING, grace - EXIT_MARGIN)))
 
     @property
@@ -124,30 +124,30 @@
 
     def _learn(self, learned: Learned) -> None:
         inquirer = self.following.inquirer
-        self.steering.routes.confirmed_at = inquirer.confirmed_at
+        self.forwarder.routes.confirmed_at = inquirer.confirmed_at
         note_agents(self.process, learned.agents)
         if learned.has_new_tables:
             self._go_by_newest()
         # Newer tables come first: by older ones a flow of a pool that serves
         # its route since is taken for dead.
         now = self.process.clock()
-        self.outlet.send_all(self.steering.end_dead_flows(now))
+        self.outlet.send_all(self.forwarder.reset_dead_flows(now))
         if learned.agents or learned.has_new_tables:
-            self.outlet.send_all(self.steering.retry_early(now))
+            self.outlet.send_all(self.forwarder.retry_early(now))
 
     def _go_by_newest(self) -> None:
         inquirer = self.following.inquirer
         tables = inquirer.history.tables
-        self.steering.go_by(tables, routes_by_service(tables))
+        self.forwarder.apply_tables(tables, routes_by_service(tables))
         if tables.generation is not None:
-            self.steering.hints.age = tables.generation.idle_timeout
+            self.forwarder.hints.age = tables.generation.idle_timeout
         note_tables(self.process, inquirer)
 
     def _take_packet(self, packet: bytes, source: tuple[str, int]) -> None:
         try:
-            sending = self.steering.take_packet(packet, self.process.clock())
+            sending = self.forwarder.handle_packet(packet, self.process.clock())
         except WireError:
-            self.steering.counters.malformed += 1
+            self.forwarder.counters.malformed += 1
             return
         self.outlet.send_all(sending)
 
@@ -156,26 +156,26 @@
             self.following.receive(datagram, source)
             return
         try:
-            sending = self.steering.take(
+            sending = self.forwarder.handle_envelope(
                 unpack_envelope(datagram),
                 address_of(*source),
                 self.process.clock(),
             )
         except WireError:
-            self.steering.counters.malformed += 1
+            self.forwarder.counters.malformed += 1
             return
         self.outlet.send_all(sending)
         self._hurry()
 
     def _hurry(self) -> None:
-        if self.steering.dead_flows.has_unproved:
+        if self.forwarder.dead_flows.has_unproved:
             self.following.hurry()
 
     def _keep_house(self, now: float) -> float:
-        self.outlet.send_all(self.steering.tick(now))
+        self.outlet.send_all(self.forwarder.tick(now))
         self._hurry()
         view = self.following.inquirer.view
-        self.steering.trust.forget(view.agent_by_address)
+        self.forwarder.trust.retain_only(view.agent_by_address)
         return HOUSEKEEPING
 
 
--- a/redwingstream/fleet/control.py
+++ b/redwingstream/fleet/control.py
@@ -136,7 +136,7 @@
             with self.process.running(Duty('control', self.tick)):
                 yield self
 
-    async def leave(self) -> None:
+    async def prepare_stop(self) -> None:
         """Hand leadership over."""
         await self.replication.hand_over()
 
--- a/redwingstream/fleet/deployment.py
+++ b/redwingstream/fleet/deployment.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class Listening:
+class ListenEndpoints:
     """Where a process listens; None for what its role does not need.
 
     Parameters
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class Beside:
+class LocalServer:
     """The backend server beside an agent.
 
     Parameters
@@ -95,23 +95,23 @@
     node: str
     zone: str
     host: str
-    listening: Listening
+    listening: ListenEndpoints
     first_port: int
     last_port: int
     seeds: tuple[str, ...]
     data_folder: Path | None
     is_first_start: bool
-    tolerated: int
-    beside: Beside | None
+    tolerated_losses: int
+    local_server: LocalServer | None
     cold_limit: ColdLimit
     report_interval: float
-    grace: float
-    flow_life: float
+    grace_seconds: float
+    max_flow_age: float
 
     @property
     def group_size(self) -> int:
         """Replicas that count: a majority survives what may be lost."""
-        return 2 * self.tolerated + 1
+        return 2 * self.tolerated_losses + 1
 
     @property
     def seed_addresses(self) -> tuple[Address, ...]:
--- a/redwingstream/fleet/observed/agent.py
+++ b/redwingstream/fleet/observed/agent.py
@@ -17,13 +17,13 @@
 
 def agent_samples(agent: Agent) -> Iterator[Sample]:
     """Return what an agent shows."""
-    site = agent.site
+    site = agent.context
     inquirer = agent.following.inquirer
     now = agent.process.clock()
     load = site.load()
     state = agent.gate.state
     yield counted(PACKETS, site.counters)
-    yield counted(REFUSALS, site.refusing.counters)
+    yield counted(REFUSALS, site.refusals.counters)
     yield Sample(
         FLOWS,
         {
@@ -38,7 +38,7 @@
             'readiness': int(state.readiness),
             'is_cold': int(agent.gate.is_cold(now)),
             'is_in_doubt': int(agent.gate.failures.is_in_doubt),
-            'report_age': now - state.heard_at,
+            'report_age': now - state.received_at,
         },
     )
     yield from inquirer_samples(inquirer, now)
--- a/redwingstream/fleet/observed/balancer.py
+++ b/redwingstream/fleet/observed/balancer.py
@@ -15,11 +15,11 @@
 
 def balancer_samples(balancer: Balancer) -> Iterator[Sample]:
     """Return what a balancer shows."""
-    steering = balancer.steering
+    steering = balancer.forwarder
     inquirer = balancer.following.inquirer
     now = balancer.process.clock()
     yield counted(PACKETS, steering.counters)
-    yield counted(REFUSALS, steering.refusing.counters)
+    yield counted(REFUSALS, steering.refusals.counters)
     yield Sample(
         FLOWS, {'hints': len(steering.hints), 'early': len(steering.early)}
     )
--- a/redwingstream/fleet/sending.py
+++ b/redwingstream/fleet/packet_sender.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 
 from redwingstream.endpoints import Endpoint
-from redwingstream.packets.effects import Sending, ToCaller, ToPeer, ToServer
+from redwingstream.packets.effects import Outgoing, ToCaller, ToPeer, ToServer
 from redwingstream.packets.flow import Address, host_of, pair_of
 from redwingstream.wire.datagrams import DatagramSocket
 
@@ -13,7 +13,7 @@
 _pair_of = functools.lru_cache(maxsize=_CACHED_ADDRESSES)(pair_of)
 
 
-class Outlet:
+class PacketSender:
     """The sockets that packets leave by.
 
     Parameters
@@ -38,7 +38,7 @@
         self._callers = callers
         self._peers = peers
 
-    def send_all(self, sending: Iterable[Sending]) -> None:
+    def send_all(self, sending: Iterable[Outgoing]) -> None:
         """Send everything, in order."""
         callers, peers = self._callers, self._peers
         if callers is None or peers is None:
--- a/redwingstream/fleet/process.py
+++ b/redwingstream/fleet/process.py
@@ -139,7 +139,7 @@
         try:
             pause = self._duty.act(self._loop.time())
         except Exception as error:  # an error of one duty stops no other one
-            self._process.failed(self._duty.name, error)
+            self._process.log_error(self._duty.name, error)
         self._handle = self._loop.call_later(pause, self._run)
 
 
@@ -194,7 +194,7 @@
         try:
             fresh = self._reread()
         except (OSError, ValueError) as error:
-            self.failed('settings', error)
+            self.log_error('settings', error)
             return
         if fresh == self.deployment:
             return
@@ -203,7 +203,7 @@
         for act in self._watched:
             act(fresh)
 
-    def failed(self, where: str, error: Exception) -> None:
+    def log_error(self, where: str, error: Exception) -> None:
         """Write an error that nobody handled."""
         text = f'{type(error).__name__}: {error}'
         self.log.write(UnexpectedError(where, text))
--- a/redwingstream/fleet/reporting.py
+++ b/redwingstream/fleet/reporting.py
@@ -8,7 +8,7 @@
 from redwingstream.fleet.process import Process, ProcessReady
 from redwingstream.openings.gate import Gate
 from redwingstream.openings.reports import ServerReport
-from redwingstream.packets.flowbook import FlowBook
+from redwingstream.packets.agent_flows import AgentFlows
 
 
 class Reporting:
@@ -33,7 +33,7 @@
         process: Process,
         pool: str,
         gate: Gate,
-        flows: FlowBook,
+        flows: AgentFlows,
         changed: Callable[[], None],
     ) -> None:
         self._process = process
@@ -42,14 +42,14 @@
         self._flows = flows
         self._changed = changed
 
-    def take(self, report: ServerReport) -> bool:
+    def handle_report(self, report: ServerReport) -> bool:
         """Take a report; return False when it is of another pool."""
         if report.pool != self._pool:
             self._note(report, 'another pool')
             return False
         before = self._gate.state.report
         now = self._process.clock()
-        if not self._gate.take_report(report, now):
+        if not self._gate.handle_report(report, now):
             self._note(report, 'late')
             return True
         if before is None:
@@ -57,16 +57,16 @@
             self._process.log.write(ProcessReady(after))
         elif before.born != report.born:
             # Another run of the server holds nothing of before.
-            self._flows.forget_all()
+            self._flows.clear()
         if before is None or _says_more(before, report):
             self._note(report, 'taken')
             self._changed()
         return True
 
-    def leave(self, server: str) -> None:
+    def handle_leave(self, server: str) -> None:
         """Take note that the server ends."""
         report = self._gate.state.report
-        if report is not None and self._gate.state.leave(server):
+        if report is not None and self._gate.state.mark_leaving(server):
             self._note(report, 'left')
             self._changed()
 
--- a/redwingstream/fleet/tests/fakes.py
+++ b/redwingstream/fleet/tests/fakes.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from redwingstream.fleet.deployment import Deployment, Listening
+from redwingstream.fleet.deployment import Deployment, ListenEndpoints
 from redwingstream.fleet.process import KEY_SIZE
 from redwingstream.openings.pacing import ColdLimit
 from redwingstream.wire.frames import FrameCodec
@@ -16,18 +16,18 @@
     node='front-1',
     zone='north',
     host='10.1.0.100',
-    listening=Listening(),
+    listening=ListenEndpoints(),
     first_port=FIRST_PORT,
     last_port=FIRST_PORT + 10,
     seeds=('10.9.0.1',),
     data_folder=None,
     is_first_start=False,
-    tolerated=1,
-    beside=None,
+    tolerated_losses=1,
+    local_server=None,
     cold_limit=ColdLimit(1, 5),
     report_interval=1,
-    grace=5,
-    flow_life=60,
+    grace_seconds=5,
+    max_flow_age=60,
 )
 
 
--- a/redwingstream/fleet/tests/test_agent.py
+++ b/redwingstream/fleet/tests/test_agent.py
@@ -9,7 +9,7 @@
 from redwingstream.directory.messages import Inquiry, Readiness
 from redwingstream.endpoints import Endpoint
 from redwingstream.fleet.agent import Agent
-from redwingstream.fleet.deployment import Beside, Listening
+from redwingstream.fleet.deployment import LocalServer, ListenEndpoints
 from redwingstream.fleet.tests.fakes import (
     DEPLOYMENT,
     KEY,
@@ -33,13 +33,13 @@
     loop = asyncio.get_running_loop()
     deployment = attrs.evolve(
         DEPLOYMENT,
-        listening=Listening(packets=Endpoint(HOST, 8172)),
-        beside=Beside(Endpoint(HOST, port), 'feed'),
+        listening=ListenEndpoints(packets=Endpoint(HOST, 8172)),
+        local_server=LocalServer(Endpoint(HOST, port), 'feed'),
     )
     agent = Agent(FakeProcess(deployment, loop.time), PlainCodec())
     sent = FakeSocket()
     agent.following.attach(sent)
-    await agent.leave()
+    await agent.prepare_stop()
     codec = FrameCodec(KEY)
     opened = [codec.open(frame).payload for frame in sent.sent]
     assert all(isinstance(payload, Inquiry) for payload in opened)
--- a/redwingstream/fleet/tests/test_balancer.py
+++ b/redwingstream/fleet/tests/test_balancer.py
@@ -93,7 +93,7 @@
         missed = Envelope(
             Kind.NOT_CARRIED, packet, pool=pool_hash(POOL), visited=(AGENT,)
         )
-        made.steering.take(missed, AGENT, loop.time())
+        made.forwarder.handle_envelope(missed, AGENT, loop.time())
         await asyncio.sleep(0.1)
         return made
 
--- a/redwingstream/openings/expectation.py
+++ b/redwingstream/openings/expectation.py
@@ -18,7 +18,7 @@
 """Seconds that a server works on a request before it begins to answer.  Too
 long a guess only lets fewer wait."""
 
-BUSY_SHARE = 0.2
+BUSY_WAIT_FRACTION = 0.2
 """Share of a route's time-out that a new flow waits at most for a busy server.
 Where more comes than the servers run, all that wait do so for as long as they
 may, and answers are late by it."""
@@ -41,7 +41,7 @@
         Whether it waits for a server that is cold.
     """
     by_copy = MAX_WAIT - waited_for(copies)
-    share = COLD_SHARE if is_cold else BUSY_SHARE
+    share = COLD_SHARE if is_cold else BUSY_WAIT_FRACTION
     return min(by_copy, timeout * share) if timeout else by_copy
 
 
--- a/redwingstream/openings/failing.py
+++ b/redwingstream/openings/failing.py
@@ -80,7 +80,7 @@
         if self._rate is not None:
             self._next_at = now + 1 / self._rate
 
-    def note_served(self, now: float) -> bool:
+    def record_served(self, now: float) -> bool:
         """Note a request that was answered.
 
         Returns
@@ -99,7 +99,7 @@
         self._outcomes.clear()
         return True
 
-    def note_failed(self, now: float) -> bool:
+    def record_failed(self, now: float) -> bool:
         """Note a request that the server broke off.
 
         Returns
--- a/redwingstream/openings/gate.py
+++ b/redwingstream/openings/gate.py
@@ -11,7 +11,7 @@
     wait_for_slot,
 )
 from redwingstream.openings.failing import DOUBT_WAIT, FailureWatch
-from redwingstream.openings.pacing import WINDOW, ColdLimit, Pacer
+from redwingstream.openings.pacing import RATE_WINDOW, ColdLimit, Pacer
 from redwingstream.openings.reports import ServerReport, ServerState
 from redwingstream.tables.snapshot import Tables
 
@@ -50,7 +50,7 @@
     FAILING = 'failing'
 
     @property
-    def may_pass(self) -> bool:
+    def may_wait(self) -> bool:
         """Whether the server may take the flow after a moment."""
         return self in _PASSING
 
@@ -68,7 +68,7 @@
 
 
 @attrs.define
-class Surroundings:
+class PoolRules:
     """What the tables say of the server's pool and zone.
 
     Parameters
@@ -94,7 +94,9 @@
         return self.zone in self.zones_out
 
     @classmethod
-    def of(cls, tables: Tables, pool_name: str, zone: str) -> 'Surroundings':
+    def from_tables(
+        cls, tables: Tables, pool_name: str, zone: str
+    ) -> 'PoolRules':
         """Return what tables say of a pool and a zone."""
         zones_out = frozenset(filter(tables.is_zone_out, tables.zone_by_name))
         around = cls(zone, zones_out=zones_out)
@@ -147,7 +149,7 @@
         self, cold_limit: ColdLimit, report_interval: float, started_at: float
     ) -> None:
         self.state = ServerState()
-        self.around = Surroundings()
+        self.rules = PoolRules()
         self.failures = FailureWatch()
         self._cold_limit = cold_limit
         self._silent_after = report_interval * SILENT_REPORTS
@@ -158,7 +160,7 @@
         self._doubted_at = float('-inf')
         self._unanswered_since: float | None = None
 
-    def take_report(self, report: ServerReport, now: float) -> bool:
+    def handle_report(self, report: ServerReport, now: float) -> bool:
         """Take a report; return False when it is a late one."""
         before = self.state.report
         if not self.state.take(report, now):
@@ -170,7 +172,7 @@
         self._unanswered_since = None
         return True
 
-    def doubt_warmth(self, now: float) -> None:
+    def assume_cold(self, now: float) -> None:
         """Take the server for cold until it has said that it is not.
 
         Used when it may have turned cold since its last report: its zone has
@@ -180,7 +182,9 @@
 
     def is_cold(self, now: float) -> bool:
         """Whether the server is cold, or may be."""
-        return now < self._cold_until or self._doubted_at >= self.state.heard_at
+        return (
+            now < self._cold_until or self._doubted_at >= self.state.received_at
+        )
 
     @property
     def slots(self) -> int:
@@ -188,13 +192,13 @@
         report = self.state.report
         return 1 if report is None else max(1, report.slots)
 
-    def judge(self, load: Load, now: float) -> Verdict:
+    def verdict_for(self, load: Load, now: float) -> Verdict:
         """Decide on a new flow."""
         closed = self._closed(load, now)
         if closed is not None:
             return closed
         if self.is_cold(now):
-            allowed = self._cold_limit.allowed(self.around.cold_rate)
+            allowed = self._cold_limit.allowed(self.rules.cold_rate)
             if self._pacer.count(now) >= allowed:
                 return Verdict.COLD
         if load.waiting >= self.slots:
@@ -230,28 +234,28 @@
         waiting = load.waiting + load.queued
         return pace + wait_for_slot(waiting, self.slots, RUN_SECONDS)
 
-    def note_opened(self, now: float) -> None:
+    def record_opened(self, now: float) -> None:
         """Count a packet that opens a flow, on its way to the server."""
         self._pacer.note(now)
         self.failures.note_opened(now)
         if self._unanswered_since is None:
             self._unanswered_since = now
 
-    def note_answered(self) -> None:
+    def record_answer(self) -> None:
         """The server has said something, so it runs."""
         self._unanswered_since = None
 
-    def note_full(self, now: float) -> None:
+    def record_full(self, now: float) -> None:
         """The server has handed a new flow back."""
         self._full_until = now + FULL_FOR
 
     def _wait_for_warmth(self, load: Load, now: float) -> float:
         if not self.is_cold(now):
             return 0
-        allowed = self._cold_limit.allowed(self.around.cold_rate)
+        allowed = self._cold_limit.allowed(self.rules.cold_rate)
         opened_at = self._pacer.opened_at(now)
-        pace = wait_for_pace(opened_at, allowed, load.queued, WINDOW, now)
-        if self._doubted_at >= self.state.heard_at:
+        pace = wait_for_pace(opened_at, allowed, load.queued, RATE_WINDOW, now)
+        if self._doubted_at >= self.state.received_at:
             return pace
         return min(pace, self._cold_until - now)
 
@@ -259,13 +263,13 @@
         said = self._closed_as_said(now)
         if said is not None:
             return said
-        if self.around.is_zone_out:
+        if self.rules.is_zone_out:
             return Verdict.ZONE_OUT
         if now < self._full_until:
             return Verdict.FULL
         if self._is_not_answering(now):
             return Verdict.NOT_ANSWERING
-        limit = self.around.max_flows
+        limit = self.rules.max_flows
         return Verdict.MAX_FLOWS if limit and load.flows >= limit else None
 
     def _closed_as_said(self, now: float) -> Verdict | None:
@@ -276,7 +280,7 @@
                 return Verdict.DRAINING
             case Readiness.GONE | Readiness.ENDED:
                 return Verdict.GONE
-        is_silent = now - self.state.heard_at > self._silent_after
+        is_silent = now - self.state.received_at > self._silent_after
         return Verdict.SILENT if is_silent else None
 
     def _is_not_answering(self, now: float) -> bool:
--- a/redwingstream/openings/pacing.py
+++ b/redwingstream/openings/pacing.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-WINDOW = 1.1
+RATE_WINDOW = 1.1
 """Seconds over which new flows are counted.  The promise is about any second; a
 tenth more covers what the way from this process to its server may vary by."""
 
@@ -38,7 +38,7 @@
 
     def count(self, now: float) -> int:
         """Return how many new flows there were within the window."""
-        while self._opened_at and now - self._opened_at[0] > WINDOW:
+        while self._opened_at and now - self._opened_at[0] > RATE_WINDOW:
             self._opened_at.popleft()
         return len(self._opened_at)
 
--- a/redwingstream/openings/patience.py
+++ b/redwingstream/openings/patience.py
@@ -15,7 +15,7 @@
     return COPIES_AFTER[min(copies, len(COPIES_AFTER) - 1)]
 
 
-def is_given_up(copies: int, timeout: float) -> bool:
+def has_caller_given_up(copies: int, timeout: float) -> bool:
     """Whether nobody waits any more for the flow of an opening packet.
 
     Parameters
--- a/redwingstream/openings/reports.py
+++ b/redwingstream/openings/reports.py
@@ -59,10 +59,10 @@
     """
 
     report: ServerReport | None = None
-    heard_at: float = float('-inf')
+    received_at: float = float('-inf')
     has_left: bool = False
     has_ended: bool = False
-    is_seen_whole: bool = False
+    is_observed_from_start: bool = False
 
     def take(self, report: ServerReport, now: float) -> bool:
         """Take a report unless it is a late one; return whether it was taken.
@@ -79,16 +79,16 @@
         if known is not None and _order(report) <= _order(known):
             return False
         if known is None:
-            self.is_seen_whole = report.sequence <= FIRST_SEQUENCE
+            self.is_observed_from_start = report.sequence <= FIRST_SEQUENCE
         elif known.born != report.born:
-            self.is_seen_whole = True
+            self.is_observed_from_start = True
         self.report = report
-        self.heard_at = now
+        self.received_at = now
         self.has_left = False
         self.has_ended = False
         return True
 
-    def leave(self, server: str) -> bool:
+    def mark_leaving(self, server: str) -> bool:
         """Note that a server ends; return False when it is another one."""
         if self.report is None or self.report.server != server:
             return False
--- a/redwingstream/openings/tests/test_failing.py
+++ b/redwingstream/openings/tests/test_failing.py
@@ -23,7 +23,7 @@
 
 def _doubted(watch: FailureWatch, now: float) -> None:
     for _ in range(FAILED_LIMIT):
-        watch.note_failed(now)
+        watch.record_failed(now)
     assert watch.is_in_doubt
 
 
@@ -42,7 +42,7 @@
             taken += 1
             watch.note_opened(now)
             failed = chance.random() < share
-            note = watch.note_failed if failed else watch.note_served
+            note = watch.record_failed if failed else watch.record_served
             note(now + RUN)
     return taken
 
@@ -52,21 +52,21 @@
 
     def test_begins_when_a_third_fail(self, watch) -> None:
         for number in range(FAILED_LIMIT - 1):
-            watch.note_served(number / 10)
-            assert not watch.note_failed(number / 10)
-        assert watch.note_failed(1)
+            watch.record_served(number / 10)
+            assert not watch.record_failed(number / 10)
+        assert watch.record_failed(1)
         assert watch.is_in_doubt
 
     def test_does_not_begin_with_single_failures(self, watch) -> None:
         for number in range(200):
             is_failed = number % 10 == 0
-            note = watch.note_failed if is_failed else watch.note_served
+            note = watch.record_failed if is_failed else watch.record_served
             note(number / 10)
         assert not watch.is_in_doubt
 
     def test_does_not_begin_with_failures_of_long_ago(self, watch) -> None:
         for number in range(FAILED_LIMIT):
-            watch.note_failed(number * RECENT_SECONDS)
+            watch.record_failed(number * RECENT_SECONDS)
         assert not watch.is_in_doubt
 
 
--- a/redwingstream/openings/tests/test_gate.py
+++ b/redwingstream/openings/tests/test_gate.py
@@ -15,10 +15,10 @@
     UNANSWERED_FOR,
     Gate,
     Load,
-    Surroundings,
+    PoolRules,
     Verdict,
 )
-from redwingstream.openings.pacing import WINDOW, ColdLimit
+from redwingstream.openings.pacing import RATE_WINDOW, ColdLimit
 from redwingstream.openings.reports import ServerReport
 
 INTERVAL = 1.2
@@ -31,7 +31,7 @@
 def gate() -> Gate:
     """A gate that has heard its server at 10."""
     made = Gate(LIMIT, INTERVAL, 0)
-    made.take_report(REPORT, 10)
+    made.handle_report(REPORT, 10)
     return made
 
 
@@ -39,15 +39,15 @@
     """What becomes of a new flow."""
 
     def test_taken(self, gate) -> None:
-        assert gate.judge(IDLE, 10) is Verdict.TAKE
+        assert gate.verdict_for(IDLE, 10) is Verdict.TAKE
 
     def test_unheard(self) -> None:
-        assert Gate(LIMIT, INTERVAL, 0).judge(IDLE, 0) is Verdict.UNHEARD
+        assert Gate(LIMIT, INTERVAL, 0).verdict_for(IDLE, 0) is Verdict.UNHEARD
 
     def test_silent(self, gate) -> None:
         late = 10 + INTERVAL * SILENT_REPORTS
-        assert gate.judge(IDLE, late) is Verdict.TAKE
-        assert gate.judge(IDLE, late + 0.1) is Verdict.SILENT
+        assert gate.verdict_for(IDLE, late) is Verdict.TAKE
+        assert gate.verdict_for(IDLE, late + 0.1) is Verdict.SILENT
 
     @pytest.mark.parametrize(
         ('readiness', 'verdict'),
@@ -57,31 +57,31 @@
         ],
     )
     def test_as_reported(self, gate, readiness, verdict) -> None:
-        gate.take_report(
+        gate.handle_report(
             attrs.evolve(REPORT, sequence=2, readiness=readiness), 11
         )
-        assert gate.judge(IDLE, 11) is verdict
+        assert gate.verdict_for(IDLE, 11) is verdict
 
     def test_gone(self, gate) -> None:
-        gate.state.leave('i-1')
-        assert gate.judge(IDLE, 11) is Verdict.GONE
+        gate.state.mark_leaving('i-1')
+        assert gate.verdict_for(IDLE, 11) is Verdict.GONE
 
     def test_zone_out(self, gate) -> None:
-        gate.around = Surroundings('north', zones_out=frozenset(('north',)))
-        assert gate.judge(IDLE, 11) is Verdict.ZONE_OUT
+        gate.rules = PoolRules('north', zones_out=frozenset(('north',)))
+        assert gate.verdict_for(IDLE, 11) is Verdict.ZONE_OUT
 
     def test_busy(self, gate) -> None:
-        assert gate.judge(Load(2, 2), 11) is Verdict.BUSY
+        assert gate.verdict_for(Load(2, 2), 11) is Verdict.BUSY
 
     def test_as_many_flows_as_it_holds(self, gate) -> None:
-        gate.around = Surroundings(max_flows=7)
-        assert gate.judge(Load(0, 6), 11) is Verdict.TAKE
-        assert gate.judge(Load(0, 7), 11) is Verdict.MAX_FLOWS
+        gate.rules = PoolRules(max_flows=7)
+        assert gate.verdict_for(Load(0, 6), 11) is Verdict.TAKE
+        assert gate.verdict_for(Load(0, 7), 11) is Verdict.MAX_FLOWS
 
     def test_full_for_a_moment(self, gate) -> None:
-        gate.note_full(11)
-        assert gate.judge(IDLE, 11) is Verdict.FULL
-        assert gate.judge(IDLE, 11 + FULL_FOR) is Verdict.TAKE
+        gate.record_full(11)
+        assert gate.verdict_for(IDLE, 11) is Verdict.FULL
+        assert gate.verdict_for(IDLE, 11 + FULL_FOR) is Verdict.TAKE
 
     def test_not_answering(self, gate) -> None:
         """A server that has crashed gets no more new flows.
@@ -89,11 +89,11 @@
         It was given a flow and has said nothing since; its next report is not
         due yet.
         """
-        gate.note_opened(11)
+        gate.record_opened(11)
         late = 11 + UNANSWERED_FOR + 0.01
-        assert gate.judge(IDLE, late) is Verdict.NOT_ANSWERING
-        gate.note_answered()
-        assert gate.judge(IDLE, late) is Verdict.TAKE
+        assert gate.verdict_for(IDLE, late) is Verdict.NOT_ANSWERING
+        gate.record_answer()
+        assert gate.verdict_for(IDLE, late) is Verdict.TAKE
 
 
 class TestColdServer:
@@ -103,25 +103,25 @@
     def test_as_many_within_a_second_as_it_bears(
         self, gate, rate, allowed
     ) -> None:
-        gate.around = Surroundings(cold_rate=rate)
-        gate.take_report(attrs.evolve(REPORT, sequence=2, cold_for=3), 11)
+        gate.rules = PoolRules(cold_rate=rate)
+        gate.handle_report(attrs.evolve(REPORT, sequence=2, cold_for=3), 11)
         for _ in range(allowed):
-            assert gate.judge(IDLE, 11) is Verdict.TAKE
-            gate.note_opened(11)
-            gate.note_answered()
-        assert gate.judge(IDLE, 11) is Verdict.COLD
-        assert gate.judge(IDLE, 11 + WINDOW) is Verdict.COLD
-        assert gate.judge(IDLE, 11.01 + WINDOW) is Verdict.TAKE
+            assert gate.verdict_for(IDLE, 11) is Verdict.TAKE
+            gate.record_opened(11)
+            gate.record_answer()
+        assert gate.verdict_for(IDLE, 11) is Verdict.COLD
+        assert gate.verdict_for(IDLE, 11 + RATE_WINDOW) is Verdict.COLD
+        assert gate.verdict_for(IDLE, 11.01 + RATE_WINDOW) is Verdict.TAKE
 
     def test_until_it_is_warm(self, gate) -> None:
-        gate.take_report(attrs.evolve(REPORT, sequence=2, cold_for=0.5), 11)
+        gate.handle_report(attrs.evolve(REPORT, sequence=2, cold_for=0.5), 11)
         assert gate.is_cold(11.4)
         assert not gate.is_cold(11.5)
 
     def test_in_doubt_until_its_next_report(self, gate) -> None:
-        gate.doubt_warmth(11)
+        gate.assume_cold(11)
         assert gate.is_cold(12)
-        gate.take_report(attrs.evolve(REPORT, sequence=2), 12)
+        gate.handle_report(attrs.evolve(REPORT, sequence=2), 12)
         assert not gate.is_cold(12)
 
 
@@ -137,18 +137,18 @@
         assert waits[-1] > 0
 
     def test_until_a_cold_server_is_warm(self, gate) -> None:
-        gate.take_report(attrs.evolve(REPORT, sequence=2, cold_for=0.5), 11)
+        gate.handle_report(attrs.evolve(REPORT, sequence=2, cold_for=0.5), 11)
         for _ in range(5):
-            gate.note_opened(11)
+            gate.record_opened(11)
         assert gate.expected_wait(IDLE, 11) == pytest.approx(0.5)
 
     def test_until_a_cold_server_may_get_one_more(self, gate) -> None:
-        gate.take_report(attrs.evolve(REPORT, sequence=2, cold_for=9), 11)
+        gate.handle_report(attrs.evolve(REPORT, sequence=2, cold_for=9), 11)
         for _ in range(5):
-            gate.note_opened(11)
-        assert gate.expected_wait(IDLE, 11) == pytest.approx(WINDOW)
+            gate.record_opened(11)
+        assert gate.expected_wait(IDLE, 11) == pytest.approx(RATE_WINDOW)
         queued = Load(0, 0, queued=5)
-        assert gate.expected_wait(queued, 11) >= 2 * WINDOW
+        assert gate.expected_wait(queued, 11) >= 2 * RATE_WINDOW
 
     def test_until_the_first_report(self) -> None:
         fresh = Gate(LIMIT, INTERVAL, 0)
@@ -158,7 +158,7 @@
         draining = attrs.evolve(
             REPORT, sequence=2, readiness=Readiness.DRAINING
         )
-        gate.take_report(draining, 11)
+        gate.handle_report(draining, 11)
         assert gate.expected_wait(IDLE, 11) == float('inf')
 
 
@@ -167,7 +167,7 @@
 
     def test_is_passed_by_while_others_are_asked(self, gate) -> None:
         _fail(gate, 10)
-        assert gate.judge(IDLE, 10) is Verdict.FAILING
+        assert gate.verdict_for(IDLE, 10) is Verdict.FAILING
         assert gate.expected_wait(IDLE, 10) == DOUBT_WAIT
 
     def test_begins_anew_with_another_run(self, gate) -> None:
@@ -176,10 +176,10 @@
         The run before it had failed its requests.
         """
         _fail(gate, 10)
-        gate.take_report(attrs.evolve(REPORT, born=2000), 10)
-        assert gate.judge(IDLE, 10) is Verdict.TAKE
+        gate.handle_report(attrs.evolve(REPORT, born=2000), 10)
+        assert gate.verdict_for(IDLE, 10) is Verdict.TAKE
 
 
 def _fail(gate: Gate, now: float) -> None:
     for _ in range(FAILED_LIMIT):
-        gate.failures.note_failed(now)
+        gate.failures.record_failed(now)
--- a/redwingstream/openings/tests/test_patience.py
+++ b/redwingstream/openings/tests/test_patience.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from redwingstream.openings.patience import is_given_up
+from redwingstream.openings.patience import has_caller_given_up
 
 
 class TestGivenUp:
@@ -22,4 +22,4 @@
         ],
     )
     def test_by_copy_and_timeout(self, copies, timeout, expected) -> None:
-        assert is_given_up(copies, timeout) is expected
+        assert has_caller_given_up(copies, timeout) is expected
--- a/redwingstream/openings/tests/test_reports.py
+++ b/redwingstream/openings/tests/test_reports.py
@@ -52,11 +52,11 @@
         assert state.readiness is Readiness.READY
 
     def test_leaving(self, state) -> None:
-        assert state.leave('i-1')
+        assert state.mark_leaving('i-1')
         assert state.readiness is Readiness.GONE
 
     def test_another_server_cannot_leave_for_it(self, state) -> None:
-        assert not state.leave('i-9')
+        assert not state.mark_leaving('i-9')
         assert state.readiness is Readiness.READY
 
     def test_nothing_is_known_before_the_first(self) -> None:
--- a/redwingstream/packets/admitting.py
+++ b/redwingstream/packets/admitting.py
@@ -6,7 +6,7 @@
 from redwingstream.directory.view import Agent
 from redwingstream.openings.gate import Verdict
 from redwingstream.packets import events
-from redwingstream.packets.effects import Sending, ToServer, peer_datagram
+from redwingstream.packets.effects import Outgoing, ToServer, peer_datagram
 from redwingstream.packets.envelopes import (
     NO_OFFER,
     OFFER_UNIT,
@@ -21,9 +21,9 @@
     flow_text,
     text_of,
 )
-from redwingstream.packets.flowbook import Carried, Standing
+from redwingstream.packets.agent_flows import CarriedFlow, FlowState
 from redwingstream.packets.ranking import pool_hash, ranked
-from redwingstream.packets.site import Site
+from redwingstream.packets.agent_context import AgentContext
 from redwingstream.packets.waiting import Held
 
 MAX_TRIES = 4
@@ -45,11 +45,11 @@
         What an agent's decisions share.
     """
 
-    def __init__(self, site: Site) -> None:
+    def __init__(self, site: AgentContext) -> None:
         self._site = site
-        self._pool = pool_hash(site.place.pool)
+        self._pool = pool_hash(site.location.pool)
 
-    def take(self, envelope: Envelope, now: float) -> list[Sending]:
+    def take(self, envelope: Envelope, now: float) -> list[Outgoing]:
         """Take an opening packet from a balancer or another agent."""
         site = self._site
         head = site.codec.read(envelope.packet)
@@ -58,7 +58,7 @@
             return []
         if envelope.pool != self._pool:
             site.counters.foreign += 1
-            return site.refusing.refuse(head, 'another pool', envelope.hops + 1)
+            return site.refusals.refuse(head, 'another pool', envelope.hops + 1)
         carried = site.flows.carried(flow, now)
         if carried is not None and self._is_copy(head, carried):
             return self._take_copy(envelope, carried)
@@ -69,13 +69,13 @@
             site.flows.forget(carried)
         return self._take_new(envelope, head, now)
 
-    def release(self, now: float) -> list[Sending]:
+    def release(self, now: float) -> list[Outgoing]:
         """Let those go on that wait and need not any more."""
         site = self._site
-        sending: list[Sending] = []
+        sending: list[Outgoing] = []
         held = site.waiting.first()
         while held is not None:
-            verdict = site.gate.judge(site.load(), now)
+            verdict = site.gate.verdict_for(site.load(), now)
             ended = self._end_of_wait(held, verdict, now)
             if ended is None:
                 break
@@ -84,24 +84,24 @@
         return sending
 
     def returned(
-        self, head: Head, carried: Carried | None, now: float
-    ) -> list[Sending]:
+        self, head: Head, carried: CarriedFlow | None, now: float
+    ) -> list[Outgoing]:
         """Take an opening packet that the server hands back."""
         site = self._site
         if carried is None:
-            return site.refusing.drop(head, 'handed back twice')
-        if carried.standing is Standing.ESTABLISHED:
-            return site.refusing.drop(head, 'a late copy')
+            return site.refusals.drop(head, 'handed back twice')
+        if carried.standing is FlowState.ESTABLISHED:
+            return site.refusals.drop(head, 'a late copy')
         site.flows.forget(carried)
-        site.gate.note_full(now)
+        site.gate.record_full(now)
         return self.pass_on(carried.envelope, head, Verdict.FULL, now)
 
     def pass_on(
         self, envelope: Envelope, head: Head, verdict: Verdict, now: float
-    ) -> list[Sending]:
+    ) -> list[Outgoing]:
         """Pass a new flow on to another agent, or end the tries."""
         site = self._site
-        own = site.place.address
+        own = site.location.address
         passed = attrs.evolve(self._visited(envelope), hops=envelope.hops + 1)
         offer = site.offer(head, now)
         if offer < envelope.offer:
@@ -110,7 +110,7 @@
         if target == own:
             return self._take_forced(envelope, head, verdict, now)
         if target == NO_ADDRESS or envelope.hops > MAX_TRIES:
-            return site.refusing.refuse(head, verdict.value, envelope.hops + 1)
+            return site.refusals.refuse(head, verdict.value, envelope.hops + 1)
         site.counters.passed_on += 1
         site.flows.note_elsewhere(head.inbound, target, now)
         site.log(
@@ -124,7 +124,7 @@
         )
         return [peer_datagram(passed, target), *self._tell(envelope, target)]
 
-    def _tell(self, envelope: Envelope, target: Address) -> list[Sending]:
+    def _tell(self, envelope: Envelope, target: Address) -> list[Outgoing]:
         """Tell the balancer to whom a new flow was passed on.
 
         When the target does not answer, the balancer doubts it, and not this
@@ -139,19 +139,21 @@
         )
         return [peer_datagram(word, envelope.origin)]
 
-    def _take_copy(self, envelope: Envelope, carried: Carried) -> list[Sending]:
+    def _take_copy(
+        self, envelope: Envelope, carried: CarriedFlow
+    ) -> list[Outgoing]:
         """Take a copy of the packet that opened a flow of this server.
 
         A balancer that has stood still hands on seconds later what it was sent
         before.  Taken for a new flow, such a packet makes this agent forget one
         that is open, and all packets of it go astray.
         """
-        is_late = carried.standing is Standing.ESTABLISHED
+        is_late = carried.standing is FlowState.ESTABLISHED
         if is_late and carried.envelope.packet:
             return list(self._site.announce(envelope))
         return [ToServer(envelope.packet)]
 
-    def _is_copy(self, head: Head, carried: Carried) -> bool:
+    def _is_copy(self, head: Head, carried: CarriedFlow) -> bool:
         opening = carried.envelope.packet
         if not opening:
             # Opened before this agent was started: the server can tell.
@@ -173,31 +175,31 @@
         return agent is not None and not agent.is_silent
 
     def _visited(self, envelope: Envelope) -> Envelope:
-        own = self._site.place.address
+        own = self._site.location.address
         return attrs.evolve(envelope, visited=(*envelope.visited, own))
 
     def _take_new(
         self, envelope: Envelope, head: Head, now: float
-    ) -> list[Sending]:
+    ) -> list[Outgoing]:
         site = self._site
-        verdict = site.gate.judge(site.load(), now)
+        verdict = site.gate.verdict_for(site.load(), now)
         if verdict is Verdict.TAKE and not site.waiting:
             return self._open(envelope, head.inbound, now)
-        if envelope.best == site.place.address:
+        if envelope.best == site.location.address:
             return self._take_forced(envelope, head, verdict, now)
         return self.pass_on(envelope, head, verdict, now)
 
     def _take_forced(
         self, envelope: Envelope, head: Head, verdict: Verdict, now: float
-    ) -> list[Sending]:
+    ) -> list[Outgoing]:
         """Take a flow that no other agent would take sooner."""
         site = self._site
         load = site.load()
         is_best = verdict is Verdict.FAILING
         if is_best or (verdict is Verdict.BUSY and site.gate.may_queue(load)):
             return self._open(envelope, head.inbound, now)
-        if not verdict.may_pass or site.waiting.is_full:
-            return site.refusing.refuse(head, verdict.value, envelope.hops + 1)
+        if not verdict.may_wait or site.waiting.is_full:
+            return site.refusals.refuse(head, verdict.value, envelope.hops + 1)
         site.waiting.add(head.inbound, Held(envelope, head, now))
         site.counters.held += 1
         expected = round(site.gate.expected_wait(load, now), 3)
@@ -215,7 +217,7 @@
 
     def _end_of_wait(
         self, held: Held, verdict: Verdict, now: float
-    ) -> list[Sending] | None:
+    ) -> list[Outgoing] | None:
         """Return what becomes of a flow that waits; None while it waits."""
         site = self._site
         is_taken = verdict in {Verdict.TAKE, Verdict.FAILING} or (
@@ -226,10 +228,10 @@
             return self._open(held.envelope, held.head.inbound, now)
         if now - held.since > site.longest_wait(held.head, now):
             site.waiting.pop()
-            return site.refusing.refuse(
+            return site.refusals.refuse(
                 held.head, verdict.value, held.envelope.hops + 1
             )
-        if verdict.may_pass:
+        if verdict.may_wait:
             return None
         site.waiting.pop()
         again = attrs.evolve(
@@ -239,12 +241,12 @@
 
     def _open(
         self, envelope: Envelope, flow: FlowId, now: float
-    ) -> list[Sending]:
+    ) -> list[Outgoing]:
         site = self._site
-        carried = Carried(flow, envelope, Standing.OFFERED, now)
+        carried = CarriedFlow(flow, envelope, FlowState.OFFERED, now)
         site.flows.add(carried, now)
         site.flows.owe(carried, now)
-        site.gate.note_opened(now)
+        site.gate.record_opened(now)
         site.counters.opened += 1
         site.log(
             events.FlowOpened(
@@ -263,7 +265,7 @@
         following = self._next(flow, passed)
         if following is None:
             return passed.best
-        is_elsewhere = following.zone != self._site.place.zone
+        is_elsewhere = following.zone != self._site.location.zone
         if is_elsewhere and passed.offer * OFFER_UNIT <= ZONE_WAIT:
             return passed.best
         return following.address
@@ -272,7 +274,7 @@
         if passed.hops >= MAX_TRIES:
             return None
         # An agent whose zone is out would only use up one of the few tries.
-        zones_out = self._site.gate.around.zones_out
+        zones_out = self._site.gate.rules.zones_out
         usable = [
             agent
             for agent in self._site.peers()
@@ -281,5 +283,5 @@
             and not agent.is_silent
             and agent.zone not in zones_out
         ]
-        order = ranked(flow, usable, self._site.place.zone)
+        order = ranked(flow, usable, self._site.location.zone)
         return order[0] if order else None
--- a/redwingstream/packets/site.py
+++ b/redwingstream/packets/agent_context.py
@@ -21,14 +21,14 @@
     Head,
     PacketCodec,
 )
-from redwingstream.packets.flowbook import FlowBook
+from redwingstream.packets.agent_flows import AgentFlows
 from redwingstream.packets.refusing import Refusing
 from redwingstream.packets.waiting import WaitingRoom
 from redwingstream.telemetry.histogram import Histogram
 
 
 @attrs.frozen
-class Place:
+class AgentLocation:
     """Where an agent is.
 
     Parameters
@@ -45,7 +45,7 @@
 
 
 @attrs.define
-class CarryingCounters:
+class AgentPacketCounters:
     """What passed an agent's packet path since the start."""
 
     packets_in: int = 0
@@ -63,7 +63,7 @@
 
 
 @attrs.define
-class Site:
+class AgentContext:
     """What an agent's decisions share.
 
     Parameters
@@ -92,21 +92,21 @@
         Ends packets that cannot be forwarded.
     """
 
-    place: Place
+    location: AgentLocation
     codec: PacketCodec
     gate: Gate
     view: AgentView
-    flows: FlowBook
+    flows: AgentFlows
     log: Callable[[Any], None]
     waiting: WaitingRoom = attrs.field(factory=WaitingRoom)
-    counters: CarryingCounters = attrs.field(factory=CarryingCounters)
+    counters: AgentPacketCounters = attrs.field(factory=AgentPacketCounters)
     opening_seconds: Histogram = attrs.field(factory=Histogram)
     timeout_by_service: dict[Address, float] = attrs.field(factory=dict)
-    refusing: Refusing = attrs.field(init=False)
+    refusals: Refusing = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Make what ends packets that cannot be forwarded."""
-        self.refusing = Refusing(self.codec, self.log)
+        self.refusals = Refusing(self.codec, self.log)
 
     def load(self) -> Load:
         """Return what the server has to do."""
@@ -133,16 +133,16 @@
 
     def peers(self) -> list[Agent]:
         """Return the other agents of the pool."""
-        own = self.place.address
+        own = self.location.address
         return [
             agent
-            for agent in self.view.of_pool(self.place.pool)
+            for agent in self.view.agents_in_pool(self.location.pool)
             if agent.address != own and not agent.readiness.is_gone
         ]
 
     def announce(self, envelope: Envelope) -> list[ToPeer]:
         """Tell balancer and home of an envelope that its flow is here."""
-        own = self.place.address
+        own = self.location.address
         word = Envelope(
             Kind.CARRIED,
             self.codec.head_only(envelope.packet),
--- a/redwingstream/packets/flowbook.py
+++ b/redwingstream/packets/agent_flows.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from redwingstream.packets.bounded import BoundedTable
+from redwingstream.packets.bounded_table import BoundedTable
 from redwingstream.packets.envelopes import Envelope
 from redwingstream.packets.flow import Address, FlowId
 
@@ -31,7 +31,7 @@
 places on paper, and new ones wait so long that their callers give up too."""
 
 
-class Standing(enum.Enum):
+class FlowState(enum.Enum):
     """How far a flow has come at this server."""
 
     OFFERED = enum.auto()
@@ -40,7 +40,7 @@
 
 
 @attrs.define
-class Carried:
+class CarriedFlow:
     """A flow at the server beside this agent.
 
     Parameters
@@ -65,7 +65,7 @@
 
     flow: FlowId
     envelope: Envelope
-    standing: Standing
+    standing: FlowState
     opened_at: float
     waits_since: float | None = None
     has_asked: bool = False
@@ -80,7 +80,7 @@
         return now - self.waits_since > limit
 
 
-class FlowBook:
+class AgentFlows:
     """The flows that one agent knows.
 
     Parameters
@@ -99,7 +99,7 @@
     ) -> None:
         self.waiting = 0
         self.flow_life = flow_life
-        self._carried: BoundedTable[FlowId, Carried] = BoundedTable(
+        self._carried: BoundedTable[FlowId, CarriedFlow] = BoundedTable(
             MAX_FLOWS, idle_timeout
         )
         self._elsewhere: BoundedTable[FlowId, Address] = BoundedTable(
@@ -116,7 +116,7 @@
         """Seconds after which a flow without packets is forgotten."""
         return self._carried.age
 
-    def keep_for(self, idle_timeout: float) -> None:
+    def extend_idle_timeout(self, idle_timeout: float) -> None:
         """Go by another time-out from now on, when it is a longer one.
 
         Flows that were opened under a longer one may rest for as long as that.
@@ -125,7 +125,7 @@
         """
         self._carried.age = max(self._carried.age, idle_timeout)
 
-    def carried(self, flow: FlowId, now: float) -> Carried | None:
+    def carried(self, flow: FlowId, now: float) -> CarriedFlow | None:
         """Return a flow of this server; None when it is not known as such."""
         return self._carried.get(flow, now)
 
@@ -137,29 +137,29 @@
         """Remember that another agent carries a flow."""
         self._elsewhere.put(flow, agent, now)
 
-    def add(self, carried: Carried, now: float) -> None:
+    def add(self, carried: CarriedFlow, now: float) -> None:
         """Remember a flow of this server."""
         self._carried.put(carried.flow, carried, now)
 
-    def forget(self, carried: Carried) -> None:
+    def forget(self, carried: CarriedFlow) -> None:
         """Forget a flow of this server."""
         self.settle(carried)
         self._carried.pop(carried.flow)
 
-    def owe(self, carried: Carried, now: float) -> None:
+    def owe(self, carried: CarriedFlow, now: float) -> None:
         """The server owes an answer."""
         if carried.waits_since is None:
             self.waiting += 1
             carried.waits_since = now
 
-    def ask(self, carried: Carried, now: float) -> None:
+    def ask(self, carried: CarriedFlow, now: float) -> None:
         """The caller has sent data, so the server owes an answer."""
         if not carried.has_asked:
             carried.has_asked = True
             self.settle(carried)
         self.owe(carried, now)
 
-    def settle(self, carried: Carried) -> None:
+    def settle(self, carried: CarriedFlow) -> None:
         """The server owes no answer any more."""
         if carried.waits_since is not None:
             self.waiting -= 1
@@ -174,7 +174,7 @@
             if carried.is_given_up(now):
                 self.settle(carried)
 
-    def forget_all(self) -> None:
+    def clear(self) -> None:
         """Forget this server's flows: another run of it holds none of them."""
         for carried in self._carried.rows():
             self.forget(carried)
--- a/redwingstream/packets/steering.py
+++ b/redwingstream/packets/balancer_forwarder.py
@@ -12,14 +12,14 @@
 import attrs
 
 from redwingstream.directory.view import AgentView
-from redwingstream.openings.patience import is_given_up
+from redwingstream.openings.patience import has_caller_given_up
 from redwingstream.packets import events
-from redwingstream.packets.bounded import BoundedTable
+from redwingstream.packets.bounded_table import BoundedTable
 from redwingstream.packets.choosing import Choosing, pool_for
 from redwingstream.packets.dead_flows import DeadFlows
 from redwingstream.packets.early import EarlyPackets
 from redwingstream.packets.effects import (
-    Sending,
+    Outgoing,
     ToCaller,
     ToPeer,
     peer_datagram,
@@ -48,7 +48,7 @@
 
 
 @attrs.define
-class SteeringCounters:
+class BalancerPacketCounters:
     """What passed a balancer's packet path since the start."""
 
     packets: int = 0
@@ -61,7 +61,7 @@
     malformed: int = 0
 
 
-class Steering:
+class BalancerForwarder:
     """Decides on each packet that reaches a balancer; does no I/O.
 
     Parameters
@@ -89,13 +89,13 @@
         log: Callable[[Any], None],
         idle_timeout: float,
     ) -> None:
-        self.counters = SteeringCounters()
+        self.counters = BalancerPacketCounters()
         self.tables = Tables()
         self._address = address
         self._codec = codec
         self._log = log
         self.trust = Trust(log)
-        self.refusing = Refusing(codec, log)
+        self.refusals = Refusing(codec, log)
         self._choosing = Choosing(zone, view, self.trust)
         self.hints: BoundedTable[FlowId, Address] = BoundedTable(
             MAX_HINTS, idle_timeout
@@ -105,36 +105,36 @@
         self.early = EarlyPackets()
         self.routes = RouteBook(view)
 
-    def go_by(
+    def apply_tables(
         self, tables: Tables, route_by_service: dict[Address, Route]
     ) -> None:
         """Go by newer tables from now on."""
         self.tables = tables
         self._choosing.tables = tables
-        self.refusing.revision = tables.revision
+        self.refusals.revision = tables.revision
         self.routes.route_by_service = route_by_service
 
-    def take_packet(self, packet: bytes, now: float) -> list[Sending]:
+    def handle_packet(self, packet: bytes, now: float) -> list[Outgoing]:
         """Take a caller's packet from the fabric."""
         self.counters.packets += 1
         return self._steer(self._codec.read(packet), packet, now)
 
-    def retry_early(self, now: float) -> list[Sending]:
+    def retry_early(self, now: float) -> list[Outgoing]:
         """Send on packets that came before the tables or the agents did."""
-        sending: list[Sending] = []
+        sending: list[Outgoing] = []
         for one in self.early.pop_all():
             head = self._codec.read(one.packet)
             if one.is_repeated(now):
-                self.refusing.drop(head, 'route or agents not known in time')
+                self.refusals.drop(head, 'route or agents not known in time')
             elif self.routes.may_come(head.target, now):
                 self.early.keep(one.packet, one.since)
             else:
                 sending.extend(self._steer(head, one.packet, now))
         return sending
 
-    def take(
+    def handle_envelope(
         self, envelope: Envelope, source: Address, now: float
-    ) -> list[Sending]:
+    ) -> list[Outgoing]:
         """Take what an agent sent."""
         self.trust.note_heard(source, now)
         match envelope.kind:
@@ -148,7 +148,7 @@
                 return [peer_datagram(Envelope(Kind.PONG, b''), source)]
         return []
 
-    def tick(self, now: float) -> list[Sending]:
+    def tick(self, now: float) -> list[Outgoing]:
         """Forget what is old; ask agents that have been silent."""
         self.hints.forget_old(now)
         self._tries.forget_old(now)
@@ -157,7 +157,7 @@
         pings = [peer_datagram(ping, due) for due in self.trust.due(now)]
         return [*pings, *self.retry_early(now)]
 
-    def end_dead_flows(self, now: float) -> list[Sending]:
+    def reset_dead_flows(self, now: float) -> list[Outgoing]:
         """Tell callers of flows that no server holds; after control answered.
 
         Without it, callers of flows that have died with their servers wait for
@@ -166,7 +166,7 @@
         """
         if not self.routes.is_confirmed(now):
             return []
-        sending: list[Sending] = []
+        sending: list[Outgoing] = []
         for head in self.dead_flows.proved(self.routes, now):
             self.counters.declared_dead += 1
             self._log(
@@ -179,12 +179,12 @@
             sending.append(ToCaller(self._codec.reset_for(head), head.source))
         return sending
 
-    def _steer(self, head: Head, packet: bytes, now: float) -> list[Sending]:
+    def _steer(self, head: Head, packet: bytes, now: float) -> list[Outgoing]:
         if head.is_opening:
             return self._open(head, packet, now)
         return self._go_on(head, packet, now)
 
-    def _open(self, head: Head, packet: bytes, now: float) -> list[Sending]:
+    def _open(self, head: Head, packet: bytes, now: float) -> list[Outgoing]:
         flow = head.inbound
         self.dead_flows.note_found(flow)
         if self.routes.may_come(head.target, now):
@@ -192,24 +192,24 @@
             return []
         route = self.routes.find(head.target)
         if route is None:
-            return self.refusing.refuse(head, 'no route', 0)
+            return self.refusals.refuse(head, 'no route', 0)
         pool = pool_for(route, flow)
         self.counters.copies += bool(head.acknowledged)
         hint = self.hints.get(flow, now) if head.acknowledged else None
         if hint is not None:
             return [self._opening_to(hint, packet, pool, now)]
-        if is_given_up(head.acknowledged, route.rules.timeout):
-            return self.refusing.drop(head, 'its caller has given up')
+        if has_caller_given_up(head.acknowledged, route.rules.timeout):
+            return self.refusals.drop(head, 'its caller has given up')
         return self._offer(head, packet, pool, now)
 
     def _offer(
         self, head: Head, packet: bytes, pool: str, now: float
-    ) -> list[Sending]:
+    ) -> list[Outgoing]:
         flow = head.inbound
         tried = self._tries.tried(flow, now)
         target = self._choosing.for_opening(flow, pool, tried, now)
         if target is None:
-            return self.refusing.refuse(head, 'no agent', 0)
+            return self.refusals.refuse(head, 'no agent', 0)
         self._tries.note_sent(flow, target, now)
         self.counters.opened += 1
         self._log(
@@ -238,7 +238,7 @@
         )
         return peer_datagram(envelope, target)
 
-    def _go_on(self, head: Head, packet: bytes, now: float) -> list[Sending]:
+    def _go_on(self, head: Head, packet: bytes, now: float) -> list[Outgoing]:
         flow = head.inbound
         hint = self.hints.get(flow, now)
         if hint is not None:
@@ -249,11 +249,11 @@
             return []
         route = self.routes.find(head.target)
         if route is None:
-            return self.refusing.drop(head, 'no route')
+            return self.refusals.drop(head, 'no route')
         missed = self.dead_flows.pools_without(flow, now)
         home = self._choosing.home(flow, route, missed, now)
         if home is None:
-            return self.refusing.drop(head, 'no agent')
+            return self.refusals.drop(head, 'no agent')
         self.counters.by_home += 1
         self.trust.note_sent(home, now)
         return [self._ongoing_to(home, packet)]
--- a/redwingstream/packets/choosing.py
+++ b/redwingstream/packets/choosing.py
@@ -86,7 +86,7 @@
         """Return agents to which the target is not to pass a new flow on."""
         found = [
             agent.address
-            for agent in self._view.of_pool(pool)
+            for agent in self._view.agents_in_pool(pool)
             if agent.address != target
             and self._trust.is_doubted(agent.address, now)
         ]
@@ -100,7 +100,7 @@
     def _present(self, pool: str) -> list[Agent]:
         return [
             agent
-            for agent in self._view.of_pool(pool)
+            for agent in self._view.agents_in_pool(pool)
             if not agent.readiness.is_gone
         ]
 
--- a/redwingstream/packets/dead_flows.py
+++ b/redwingstream/packets/dead_flows.py
@@ -13,7 +13,7 @@
 
 from redwingstream.directory.messages import Readiness
 from redwingstream.directory.view import Agent, AgentView
-from redwingstream.packets.bounded import BoundedTable
+from redwingstream.packets.bounded_table import BoundedTable
 from redwingstream.packets.flow import Address, FlowId, Head
 from redwingstream.packets.ranking import pool_hash
 from redwingstream.packets.routebook import RouteBook
@@ -136,7 +136,7 @@
         """Return flows since whose search the control instances answered."""
         for _ in range(min(MAX_PROOFS, len(self._unproved))):
             missed_at, flow = self._unproved[0]
-            if not self._view.answered_since(missed_at, now):
+            if not self._view.all_answered_since(missed_at, now):
                 return
             self._unproved.popleft()
             missed = self._missed.get(flow, now)
@@ -167,7 +167,7 @@
         if pool not in self._addresses_by_pool:
             self._addresses_by_pool[pool] = frozenset(
                 agent.address
-                for agent in self._view.of_pool(pool)
+                for agent in self._view.agents_in_pool(pool)
                 if _may_hold_flow(agent)
             )
         return self._addresses_by_pool[pool]
--- a/redwingstream/packets/effects.py
+++ b/redwingstream/packets/effects.py
@@ -29,7 +29,7 @@
     payload: bytes
 
 
-Sending = ToPeer | ToCaller | ToServer
+Outgoing = ToPeer | ToCaller | ToServer
 
 
 def peer_datagram(envelope: Envelope, target: Address) -> ToPeer:
--- a/redwingstream/packets/lookups.py
+++ b/redwingstream/packets/lookups.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from redwingstream.packets.bounded import BoundedTable
+from redwingstream.packets.bounded_table import BoundedTable
 from redwingstream.packets.effects import ToPeer, peer_datagram
 from redwingstream.packets.envelopes import Envelope, Kind
 from redwingstream.packets.flow import Address, FlowId
--- a/redwingstream/packets/refusing.py
+++ b/redwingstream/packets/refusing.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from redwingstream.packets.effects import Sending, ToCaller
+from redwingstream.packets.effects import Outgoing, ToCaller
 from redwingstream.packets.events import FlowDropped, FlowRefused
 from redwingstream.packets.flow import Head, PacketCodec, flow_text
 
@@ -35,7 +35,7 @@
         self._codec = codec
         self._log = log
 
-    def refuse(self, head: Head, reason: str, visited: int) -> list[Sending]:
+    def refuse(self, head: Head, reason: str, visited: int) -> list[Outgoing]:
         """Refuse a new flow that no server has been given.
 
         Notes
@@ -51,7 +51,7 @@
         self._log(FlowRefused(flow, reason, self.revision, visited))
         return [ToCaller(self._codec.reset_for(head), head.source)]
 
-    def drop(self, head: Head, reason: str) -> list[Sending]:
+    def drop(self, head: Head, reason: str) -> list[Outgoing]:
         """Drop a packet, and say so in the log."""
         self.counters.dropped += 1
         flow = flow_text(head.inbound)
--- a/redwingstream/packets/routebook.py
+++ b/redwingstream/packets/routebook.py
@@ -55,5 +55,6 @@
 
     def _has_agents(self, pool: str) -> bool:
         return any(
-            not agent.readiness.is_gone for agent in self._view.of_pool(pool)
+            not agent.readiness.is_gone
+            for agent in self._view.agents_in_pool(pool)
         )
