--- a/redwingstream/packets/searching.py
+++ b/redwingstream/packets/searching.py
@@ -9,9 +9,9 @@
 import attrs
 
 from redwingstream.packets import events
-from redwingstream.packets.bounded import BoundedTable
+from redwingstream.packets.bounded_table import BoundedTable
 from redwingstream.packets.effects import (
-    Sending,
+    Outgoing,
     ToCaller,
     ToServer,
     peer_datagram,
@@ -29,10 +29,10 @@
     flow_text,
     text_of,
 )
-from redwingstream.packets.flowbook import Carried, Standing
+from redwingstream.packets.agent_flows import CarriedFlow, FlowState
 from redwingstream.packets.lookups import MAX_WAITING, Lookup, Lookups
 from redwingstream.packets.ranking import pool_hash
-from redwingstream.packets.site import Site
+from redwingstream.packets.agent_context import AgentContext
 
 MAX_TICKETS = 4096
 """Packets that are at the server to see whether it holds their flow."""
@@ -64,7 +64,7 @@
         Time from which on this agent has seen all packets of its server.
     """
 
-    def __init__(self, site: Site, listens_since: float) -> None:
+    def __init__(self, site: AgentContext, listens_since: float) -> None:
         self._site = site
         self._listens_since = listens_since
         self._searched: BoundedTable[int, Envelope] = BoundedTable(
@@ -79,7 +79,7 @@
         self._ticket = 0
         self._lookups = Lookups()
 
-    def take(self, envelope: Envelope, now: float) -> list[Sending]:
+    def take(self, envelope: Envelope, now: float) -> list[Outgoing]:
         """Take a packet from a balancer or another agent."""
         site = self._site
         head = site.codec.read(envelope.packet)
@@ -97,38 +97,38 @@
         return [ToServer(self._with_ticket(envelope, now))]
 
     def returned(
-        self, head: Head, carried: Carried | None, now: float
-    ) -> list[Sending]:
+        self, head: Head, carried: CarriedFlow | None, now: float
+    ) -> list[Outgoing]:
         """Take a packet that the server hands back."""
         site = self._site
         searched = self._searched.pop(head.ticket) if head.ticket else None
         self._unconfirmed.pop(head.inbound)
         is_lookup = searched is not None and searched.kind is Kind.LOOKUP
         is_held = carried is not None and not is_lookup
-        if is_held and carried.standing is Standing.ESTABLISHED:
+        if is_held and carried.standing is FlowState.ESTABLISHED:
             return self._flow_lost(carried, head, now)
         if carried is not None:
             # The caller has acknowledged another server's answer.
             site.flows.forget(carried)
         self._not_held.put(head.inbound, row=True, now=now)
         if searched is None:
-            return site.refusing.drop(head, 'handed back without a search')
+            return site.refusals.drop(head, 'handed back without a search')
         return self._search_on(searched, head, now)
 
-    def report_held(self, flow: FlowId) -> list[Sending]:
+    def report_held(self, flow: FlowId) -> list[Outgoing]:
         """Announce a flow that the server has answered after a search."""
         envelope = self._unconfirmed.pop(flow)
         return [] if envelope is None else self._report_found(flow, envelope)
 
     def note_not_carried(
         self, envelope: Envelope, agent: Address, now: float
-    ) -> list[Sending]:
+    ) -> list[Outgoing]:
         """Take an agent's answer that it does not carry a flow."""
         head = self._site.codec.read(envelope.packet)
         lookup = self._lookups.note_not_carried(head.inbound, agent, now)
         return [] if lookup is None else self._report_not_found(lookup, head)
 
-    def note_carried(self, flow: FlowId, agent: Address) -> list[Sending]:
+    def note_carried(self, flow: FlowId, agent: Address) -> list[Outgoing]:
         """End the lookup of a flow and send its queued packets to its agent."""
         lookup = self._lookups.end(flow)
         if lookup is None:
@@ -138,12 +138,12 @@
             for waiting in lookup.waiting
         ]
 
-    def tick(self, now: float) -> list[Sending]:
+    def tick(self, now: float) -> list[Outgoing]:
         """Expire old entries; retry or end overdue lookups."""
         self._searched.forget_old(now)
         self._unconfirmed.forget_old(now)
         self._not_held.forget_old(now)
-        sending: list[Sending] = []
+        sending: list[Outgoing] = []
         for flow, lookup in self._lookups.overdue(now):
             if lookup.is_repeated:
                 self._lookups.end(flow)
@@ -159,13 +159,13 @@
         site = self._site
         # A flow that the server holds shows itself within the idle time-out.
         knows_all_from = self._listens_since + site.flows.idle_timeout
-        if site.gate.state.is_seen_whole or now >= knows_all_from:
+        if site.gate.state.is_observed_from_start or now >= knows_all_from:
             return True
         return self._not_held.get(head.inbound, now) is not None
 
     def _deliver(
-        self, envelope: Envelope, carried: Carried, head: Head, now: float
-    ) -> list[Sending]:
+        self, envelope: Envelope, carried: CarriedFlow, head: Head, now: float
+    ) -> list[Outgoing]:
         site = self._site
         opening = carried.envelope.packet
         is_lookup = envelope.kind is Kind.LOOKUP
@@ -179,14 +179,14 @@
             self._unconfirmed.put(head.inbound, envelope, now)
             return [ToServer(self._with_ticket(envelope, now))]
         packet = envelope.packet
-        if carried.standing is not Standing.ESTABLISHED:
+        if carried.standing is not FlowState.ESTABLISHED:
             packet = self._with_ticket(envelope, now)
-        sending: list[Sending] = [ToServer(packet)]
+        sending: list[Outgoing] = [ToServer(packet)]
         if envelope.hops:
             sending.extend(self._report_found(head.inbound, envelope))
         return sending
 
-    def _report_found(self, flow: FlowId, envelope: Envelope) -> list[Sending]:
+    def _report_found(self, flow: FlowId, envelope: Envelope) -> list[Outgoing]:
         site = self._site
         site.counters.found += 1
         site.log(
@@ -197,15 +197,15 @@
         return list(site.announce(envelope))
 
     def _flow_lost(
-        self, carried: Carried, head: Head, now: float
-    ) -> list[Sending]:
+        self, carried: CarriedFlow, head: Head, now: float
+    ) -> list[Outgoing]:
         site = self._site
         if carried.is_ending:
-            return site.refusing.drop(head, 'the flow has ended')
+            return site.refusals.drop(head, 'the flow has ended')
         # The server held this flow and does not any more, so it has been
         # restarted or has given the flow up.  The caller is told at once.
         site.flows.forget(carried)
-        site.gate.doubt_warmth(now)
+        site.gate.assume_cold(now)
         site.counters.lost += 1
         age = round(now - carried.opened_at, 3)
         site.log(events.FlowLost(flow_text(carried.flow), age))
@@ -213,7 +213,7 @@
 
     def _search_on(
         self, envelope: Envelope, head: Head, now: float
-    ) -> list[Sending]:
+    ) -> list[Outgoing]:
         site = self._site
         if envelope.kind is Kind.LOOKUP:
             return [
@@ -223,7 +223,7 @@
         if lookup is not None:
             return self._wait_for(lookup, envelope, head)
         searching = attrs.evolve(
-            self._visited(envelope), home=site.place.address
+            self._visited(envelope), home=site.location.address
         )
         others = [
             agent.address
@@ -231,7 +231,7 @@
             if agent.address not in searching.visited and not agent.is_silent
         ]
         if len(others) + len(searching.visited) > MAX_VISITED:
-            return site.refusing.drop(head, 'the pool is too large to search')
+            return site.refusals.drop(head, 'the pool is too large to search')
         lookup = self._lookups.start(head.inbound, searching, others, now)
         if others:
             return list(lookup.requests())
@@ -240,13 +240,13 @@
 
     def _wait_for(
         self, lookup: Lookup, envelope: Envelope, head: Head
-    ) -> list[Sending]:
+    ) -> list[Outgoing]:
         if len(lookup.waiting) >= MAX_WAITING:
-            return self._site.refusing.drop(head, 'too many wait for a lookup')
+            return self._site.refusals.drop(head, 'too many wait for a lookup')
         lookup.waiting.append(envelope)
         return []
 
-    def _report_not_found(self, lookup: Lookup, head: Head) -> list[Sending]:
+    def _report_not_found(self, lookup: Lookup, head: Head) -> list[Outgoing]:
         site = self._site
         site.counters.not_found += 1
         site.log(
@@ -266,7 +266,7 @@
         return attrs.evolve(
             envelope,
             hops=min(envelope.hops + 1, MAX_HOPS),
-            visited=(*envelope.visited, self._site.place.address),
+            visited=(*envelope.visited, self._site.location.address),
         )
 
     def _with_ticket(self, envelope: Envelope, now: float) -> bytes:
@@ -275,7 +275,7 @@
         return self._site.codec.with_ticket(envelope.packet, self._ticket)
 
 
-def _is_other(site: Site, opening: bytes, head: Head) -> bool:
+def _is_other(site: AgentContext, opening: bytes, head: Head) -> bool:
     """Whether a packet is of another flow than the one an agent opened."""
     begun = site.codec.read(opening).sequence
     return (head.sequence - begun) & SEQUENCE_MASK > MAX_FLOW_BYTES
@@ -285,12 +285,12 @@
     return envelope.kind is Kind.ONGOING and known not in envelope.visited
 
 
-def _not_carried_reply(site: Site, envelope: Envelope) -> Envelope:
+def _not_carried_reply(site: AgentContext, envelope: Envelope) -> Envelope:
     """Return this agent's answer that it does not carry the flow."""
     return attrs.evolve(
         envelope,
         kind=Kind.NOT_CARRIED,
         packet=site.codec.head_only(envelope.packet),
-        pool=pool_hash(site.place.pool),
-        visited=(site.place.address,),
+        pool=pool_hash(site.location.pool),
+        visited=(site.location.address,),
     )
--- a/redwingstream/packets/tests/network.py
+++ b/redwingstream/packets/tests/network.py
@@ -14,16 +14,16 @@
 
 from redwingstream.directory.messages import Readiness
 from redwingstream.directory.view import Agent, AgentView
-from redwingstream.openings.gate import Gate, Surroundings
+from redwingstream.openings.gate import Gate, PoolRules
 from redwingstream.openings.pacing import ColdLimit
 from redwingstream.openings.reports import ServerReport
-from redwingstream.packets.carrying import Carrying
-from redwingstream.packets.effects import Sending, ToCaller, ToPeer, ToServer
+from redwingstream.packets.agent_forwarder import AgentForwarder
+from redwingstream.packets.effects import Outgoing, ToCaller, ToPeer, ToServer
 from redwingstream.packets.envelopes import unpack_envelope
 from redwingstream.packets.flow import Address, address_of
-from redwingstream.packets.flowbook import FlowBook
-from redwingstream.packets.site import Place, Site
-from redwingstream.packets.steering import Steering
+from redwingstream.packets.agent_flows import AgentFlows
+from redwingstream.packets.agent_context import AgentLocation, AgentContext
+from redwingstream.packets.balancer_forwarder import BalancerForwarder
 from redwingstream.packets.tests.codec import (
     ACCEPTING,
     OPENING,
@@ -161,16 +161,16 @@
     def start(self, listens_since: float = float('inf')) -> None:
         """Begin with an empty memory."""
         self.gate = Gate(ColdLimit(1.5, 5), REPORT_INTERVAL, self.network.now)
-        self.gate.around = Surroundings()
-        self.site = Site(
-            Place(self.address, self.zone, self.pool),
+        self.gate.rules = PoolRules()
+        self.context = AgentContext(
+            AgentLocation(self.address, self.zone, self.pool),
             CODEC,
             self.gate,
             self.view,
-            FlowBook(IDLE_TIMEOUT),
+            AgentFlows(IDLE_TIMEOUT),
             self.network.events.append,
         )
-        self.carrying = Carrying(self.site, listens_since)
+        self.forwarder = AgentForwarder(self.context, listens_since)
 
     def report(
         self,
@@ -185,7 +185,7 @@
         self.readiness = self.readiness if readiness is None else readiness
         if cold_for is not None:
             self.cold_until = now + cold_for
-        self.gate.take_report(
+        self.gate.handle_report(
             ServerReport(
                 'i-1',
                 born,
@@ -203,14 +203,18 @@
         if self.alive:
             envelope = unpack_envelope(payload)
             self._carry_out(
-                self.carrying.take(envelope, source, self.network.now)
+                self.forwarder.handle_envelope(
+                    envelope, source, self.network.now
+                )
             )
 
     def take_from_server(self, packet: Packet) -> None:
         """Take a packet of the server."""
         if self.alive:
             self._carry_out(
-                self.carrying.take_from_server(packet.pack(), self.network.now)
+                self.forwarder.handle_server_packet(
+                    packet.pack(), self.network.now
+                )
             )
 
     def tick(self) -> None:
@@ -219,10 +223,10 @@
         if overdue and self.alive and not self.is_mute:
             self.report()
         if self.alive:
-            self._carry_out(self.carrying.release(self.network.now))
-            self._carry_out(self.carrying.tick(self.network.now))
+            self._carry_out(self.forwarder.process_waiting(self.network.now))
+            self._carry_out(self.forwarder.tick(self.network.now))
 
-    def _carry_out(self, sending: list[Sending]) -> None:
+    def _carry_out(self, sending: list[Outgoing]) -> None:
         self.network.carry_out(self.address, sending, self.server)
 
 
@@ -243,7 +247,7 @@
 
     def start(self) -> None:
         """Begin with an empty memory."""
-        self.steering = Steering(
+        self.forwarder = BalancerForwarder(
             self.address,
             self.zone,
             CODEC,
@@ -255,23 +259,25 @@
 
     def go_by(self, tables: Tables) -> None:
         """Take tables."""
-        self.steering.routes.confirmed_at = self.network.now
+        self.forwarder.routes.confirmed_at = self.network.now
         routes = {
             _address_of(route.service): route
             for route in tables.route_by_key.values()
         }
-        self.steering.go_by(tables, routes)
+        self.forwarder.apply_tables(tables, routes)
 
     def take_packet(self, packet: Packet) -> None:
         """Take a caller's packet."""
         if self.alive:
-            sending = self.steering.take_packet(packet.pack(), self.network.now)
+            sending = self.forwarder.handle_packet(
+                packet.pack(), self.network.now
+            )
             self.network.carry_out(self.address, sending)
 
     def receive(self, payload: bytes, source: Address) -> None:
         """Take a datagram of another process."""
         if self.alive:
-            sending = self.steering.take(
+            sending = self.forwarder.handle_envelope(
                 unpack_envelope(payload), source, self.network.now
             )
             self.network.carry_out(self.address, sending)
@@ -280,18 +286,18 @@
         """Let time pass."""
         if self.alive:
             self._hear_control()
-            sending = self.steering.tick(self.network.now)
+            sending = self.forwarder.tick(self.network.now)
             self.network.carry_out(self.address, sending)
 
     def _hear_control(self) -> None:
         now = self.network.now
         if self.hears_control and now >= self._heard_at + CONTROL_INTERVAL:
             self._heard_at = now
-            self.view.take(CONTROL, 1, (), now)
+            self.view.handle_records(CONTROL, 1, (), now)
             if self.control_has_leader:
-                self.steering.routes.confirmed_at = now
+                self.forwarder.routes.confirmed_at = now
             self.view.is_complete = self.control_is_warm
-            sending = self.steering.end_dead_flows(now)
+            sending = self.forwarder.reset_dead_flows(now)
             self.network.carry_out(self.address, sending)
 
 
@@ -430,7 +436,7 @@
         for balancer in self.balancers:
             balancer.go_by(self.tables)
         for agent in self.agents:
-            agent.gate.around = Surroundings.of(
+            agent.gate.rules = PoolRules.from_tables(
                 self.tables, agent.pool, agent.zone
             )
 
@@ -452,7 +458,7 @@
     def carry_out(
         self,
         source: Address,
-        sending: list[Sending],
+        sending: list[Outgoing],
         server: Server | None = None,
     ) -> None:
         """Send what a node wants sent."""
--- a/redwingstream/packets/tests/test_any_input.py
+++ b/redwingstream/packets/tests/test_any_input.py
@@ -7,7 +7,7 @@
 
 from redwingstream.directory.messages import Inquiry
 from redwingstream.errors import WireError
-from redwingstream.packets.bounded import BoundedTable
+from redwingstream.packets.bounded_table import BoundedTable
 from redwingstream.packets.envelopes import (
     Envelope,
     Kind,
@@ -15,7 +15,7 @@
     unpack_envelope,
 )
 from redwingstream.packets.flow import address_of
-from redwingstream.packets.flowbook import MAX_FLOWS
+from redwingstream.packets.agent_flows import MAX_FLOWS
 from redwingstream.packets.ranking import pool_hash
 from redwingstream.packets.tests.codec import Packet
 from redwingstream.packets.tests.network import (
@@ -79,7 +79,7 @@
     refused = 0
     for number, datagram in enumerate(datagrams):
         try:
-            agent.carrying.take(
+            agent.forwarder.handle_envelope(
                 unpack_envelope(datagram), SOURCE, number / 1000
             )
         except WireError:
@@ -91,7 +91,7 @@
     refused = 0
     for number, packet in enumerate(packets):
         try:
-            balancer.steering.take_packet(packet, number / 1000)
+            balancer.forwarder.handle_packet(packet, number / 1000)
         except WireError:
             refused += 1
     return refused
@@ -104,19 +104,19 @@
         agent = network.agents[0]
         refused = _feed_agent(agent, _envelopes(random.Random(1)))
         assert 0 < refused < COUNT
-        assert agent.site.flows.count <= MAX_FLOWS
-        assert len(agent.site.waiting) <= 512
+        assert agent.context.flows.count <= MAX_FLOWS
+        assert len(agent.context.waiting) <= 512
 
     def test_from_its_server(self, network) -> None:
         agent = network.agents[0]
         refused = 0
         for number, packet in enumerate(_packets(random.Random(2))):
             try:
-                agent.carrying.take_from_server(packet, number / 1000)
+                agent.forwarder.handle_server_packet(packet, number / 1000)
             except WireError:
                 refused += 1
         assert 0 < refused < COUNT
-        assert agent.site.flows.count <= MAX_FLOWS
+        assert agent.context.flows.count <= MAX_FLOWS
 
 
 class TestBalancer:
@@ -126,14 +126,16 @@
         balancer = network.balancers[0]
         refused = _feed_balancer(balancer, _packets(random.Random(3)))
         assert 0 < refused < COUNT
-        assert len(balancer.steering.hints) <= balancer.steering.hints.size
+        assert len(balancer.forwarder.hints) <= balancer.forwarder.hints.size
 
     def test_envelopes(self, network) -> None:
-        steering = network.balancers[0].steering
+        steering = network.balancers[0].forwarder
         refused = 0
         for number, datagram in enumerate(_envelopes(random.Random(4))):
             try:
-                steering.take(unpack_envelope(datagram), SOURCE, number / 1000)
+                steering.handle_envelope(
+                    unpack_envelope(datagram), SOURCE, number / 1000
+                )
             except WireError:
                 refused += 1
         assert 0 < refused < COUNT
--- a/redwingstream/packets/tests/test_cold_places.py
+++ b/redwingstream/packets/tests/test_cold_places.py
@@ -21,7 +21,7 @@
         agent = network.add_agent(f'10.1.0.{number + 1}')
         agent.server.slots = 1
         agent.server.run = 0.024
-        agent.site.timeout_by_service = {SERVICE: TIMEOUT}
+        agent.context.timeout_by_service = {SERVICE: TIMEOUT}
         agent.report(cold_for=COLD_FOR)
     balancer = network.add_balancer('10.1.0.100')
     chance = random.Random(seed)
--- a/redwingstream/packets/tests/test_dead_flows.py
+++ b/redwingstream/packets/tests/test_dead_flows.py
@@ -128,7 +128,7 @@
             lost.caller.ask(lost.balancer)
             lost.network.run(0.01)
         searches = sum(
-            agent.site.counters.not_found for agent in lost.network.agents
+            agent.context.counters.not_found for agent in lost.network.agents
         )
         assert searches == 1
 
@@ -161,7 +161,7 @@
         gone.
         """
         opened = _opened()
-        opened.carrier.gate.state.leave('i-1')
+        opened.carrier.gate.state.mark_leaving('i-1')
         opened.network.make_known()
         if is_silent:
             _call_silent(opened)
@@ -203,7 +203,7 @@
         lost = _lost()
         lost.balancer.hears_control = False
         lost.repeat()
-        dead_flows = lost.balancer.steering.dead_flows
+        dead_flows = lost.balancer.forwarder.dead_flows
         assert dead_flows.has_unproved
         lost.network.run(PROOF_SECONDS + 1)
         assert not dead_flows.has_unproved
@@ -287,7 +287,7 @@
         opened.carrier.start(listens_since=opened.network.now)
         opened.carrier.report()
         for agent in opened.network.agents:
-            agent.site.flows.keep_for(3 * IDLE_TIMEOUT)
+            agent.context.flows.extend_idle_timeout(3 * IDLE_TIMEOUT)
         opened.balancer.start()
         opened.network.run(rest)
         opened.repeat()
@@ -311,13 +311,13 @@
         late = opened.network.add_balancer('10.1.0.101')
         opened.network.run(6)
         if is_busy:
-            load = opened.carrier.site.flows
+            load = opened.carrier.context.flows
             load.waiting = 100
         late.take_packet(
             Packet(opened.caller.address, SERVICE, 1, flags=OPENING)
         )
         opened.network.run(1)
-        opened.carrier.site.flows.waiting = 0
+        opened.carrier.context.flows.waiting = 0
         before = opened.caller.answers
         opened.balancer.start()
         opened.repeat()
@@ -348,8 +348,8 @@
         caller = Caller(network, '100.64.0.1', 1000)
         packet = Packet(caller.address, SERVICE, 1, flags=OPENING)
         flow = CODEC.read(packet.pack()).inbound
-        first.site.flows.note_elsewhere(flow, second.address, network.now)
-        second.site.flows.note_elsewhere(flow, first.address, network.now)
+        first.context.flows.note_elsewhere(flow, second.address, network.now)
+        second.context.flows.note_elsewhere(flow, first.address, network.now)
         caller.open(balancer)
         network.run(1)
         assert caller.answers == 1
@@ -361,7 +361,7 @@
     def test_does_not_end_flows_that_were_open_before(self) -> None:
         opened = _opened()
         for agent in opened.network.agents:
-            agent.site.flows.keep_for(2)
+            agent.context.flows.extend_idle_timeout(2)
         opened.network.run(IDLE_TIMEOUT - 5)
         opened.balancer.start()
         opened.repeat()
--- a/redwingstream/packets/tests/test_early.py
+++ b/redwingstream/packets/tests/test_early.py
@@ -26,14 +26,14 @@
 def balancer(network) -> BalancerNode:
     """A balancer that has just started and has heard nobody."""
     made = network.add_balancer('10.1.0.100')
-    made.steering.go_by(Tables(), {})
-    made.steering.routes.confirmed_at = float('-inf')
+    made.forwarder.apply_tables(Tables(), {})
+    made.forwarder.routes.confirmed_at = float('-inf')
     return made
 
 
 def _inform(network: Network, balancer: BalancerNode) -> None:
     balancer.go_by(network.tables)
-    sending = balancer.steering.retry_early(network.now)
+    sending = balancer.forwarder.retry_early(network.now)
     network.carry_out(balancer.address, sending)
 
 
@@ -70,7 +70,7 @@
         caller.open(balancer)
         balancer.alive = False
         network.run(KEPT_FOR + 0.05)
-        assert not balancer.steering.retry_early(network.now)
+        assert not balancer.forwarder.retry_early(network.now)
         reasons = [
             event.reason
             for event in network.events
--- a/redwingstream/packets/tests/test_large_pools.py
+++ b/redwingstream/packets/tests/test_large_pools.py
@@ -7,7 +7,7 @@
 import pytest
 
 from redwingstream.packets.envelopes import Envelope, Kind
-from redwingstream.packets.flowbook import Carried, Standing
+from redwingstream.packets.agent_flows import CarriedFlow, FlowState
 from redwingstream.packets.tests.codec import OPENING, Packet
 from redwingstream.packets.tests.network import (
     CODEC,
@@ -162,8 +162,8 @@
             for agent in fleet.network.agents
             if agent not in {fleet.home, fleet.carrier}
         )
-        stale.site.flows.add(
-            Carried(flow, envelope, Standing.ESTABLISHED, now), now
+        stale.context.flows.add(
+            CarriedFlow(flow, envelope, FlowState.ESTABLISHED, now), now
         )
         for expected in range(2, 5):
             fleet.ask(FOUND_WITHIN)
@@ -227,4 +227,6 @@
 
 
 def _packets_received(fleet: _Fleet) -> int:
-    return sum(agent.site.counters.packets_in for agent in fleet.network.agents)
+    return sum(
+        agent.context.counters.packets_in for agent in fleet.network.agents
+    )
--- a/redwingstream/packets/tests/test_opening.py
+++ b/redwingstream/packets/tests/test_opening.py
@@ -135,7 +135,9 @@
         _open_all(network, balancer, 8)
         lost.alive = True
         network.run(3)
-        assert not balancer.steering.trust.is_doubted(lost.address, network.now)
+        assert not balancer.forwarder.trust.is_doubted(
+            lost.address, network.now
+        )
 
 
 class TestLeaving:
@@ -221,7 +223,7 @@
         network.mark_zone('north', out=True)
         network.run(1)
         network.mark_zone('north', out=False)
-        agent.gate.doubt_warmth(network.now)
+        agent.gate.assume_cold(network.now)
         agent.is_mute = True
         for number in range(20):
             Caller(network, '100.64.0.1', 1000 + number).open(balancer)
--- a/redwingstream/packets/tests/test_overload.py
+++ b/redwingstream/packets/tests/test_overload.py
@@ -27,7 +27,7 @@
         agent = network.add_agent(f'10.1.0.{number + 1}')
         agent.server.slots = 1
         agent.server.run = RUN
-        agent.site.timeout_by_service = {SERVICE: TIMEOUT}
+        agent.context.timeout_by_service = {SERVICE: TIMEOUT}
         agent.report()
     balancer = network.add_balancer('10.1.0.100')
     feeds = []
--- a/redwingstream/packets/tests/test_searching.py
+++ b/redwingstream/packets/tests/test_searching.py
@@ -74,7 +74,7 @@
         added = [
             network.add_agent(f'10.1.1.{number + 1}') for number in range(8)
         ]
-        handed = [agent.site.counters for agent in added]
+        handed = [agent.context.counters for agent in added]
         other = network.add_balancer('10.1.0.101')
         answers = caller.answers
         caller.ask(other)
@@ -103,7 +103,7 @@
             network.run(1.1)
             caller.ask(balancer)
         network.run(1)
-        assert carrier.site.counters.handed_back == 1
+        assert carrier.context.counters.handed_back == 1
 
 
 class TestForgottenFlow:
--- a/redwingstream/packets/tests/test_waiting.py
+++ b/redwingstream/packets/tests/test_waiting.py
@@ -9,7 +9,7 @@
 
 from redwingstream.directory.messages import Readiness
 from redwingstream.openings.expectation import MAX_WAIT
-from redwingstream.openings.pacing import WINDOW
+from redwingstream.openings.pacing import RATE_WINDOW
 from redwingstream.packets.tests.network import (
     HOP,
     REPORT_INTERVAL,
@@ -90,7 +90,7 @@
             Caller(network, '100.64.0.1', 1000 + number).open(balancer)
             for number in range(3 * COLD_ALLOWED)
         ]
-        network.run(2 * WINDOW)
+        network.run(2 * RATE_WINDOW)
         waited = [
             caller.waited for caller in callers if caller.accepted is not None
         ]
@@ -166,7 +166,7 @@
         network.run(REPORT_INTERVAL - 0.8)
         Caller(network, '100.64.0.1', 1000).open(balancer)
         network.run(0.7)
-        assert not balancer.steering.trust.is_doubted(
+        assert not balancer.forwarder.trust.is_doubted(
             agent.address, network.now
         )
 
@@ -182,7 +182,7 @@
             for number in range(30)
         ]
         network.run(0.01)
-        assert agent.site.flows.waiting <= 3 * agent.server.slots
+        assert agent.context.flows.waiting <= 3 * agent.server.slots
         network.run(1)
         served = [caller for caller in callers if caller.answers]
         assert len(served) >= 20
--- a/redwingstream/packets/tests/test_zones.py
+++ b/redwingstream/packets/tests/test_zones.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from redwingstream.openings.expectation import BUSY_SHARE
+from redwingstream.openings.expectation import BUSY_WAIT_FRACTION
 from redwingstream.packets.admitting import ZONE_WAIT
 from redwingstream.packets.tests.network import (
     HOP,
@@ -26,7 +26,7 @@
     agent = network.add_agent(host, zone)
     agent.server.slots = 1
     agent.server.run = RUN
-    agent.site.timeout_by_service = {SERVICE: TIMEOUT}
+    agent.context.timeout_by_service = {SERVICE: TIMEOUT}
     agent.report()
     return agent
 
@@ -75,7 +75,10 @@
         self, network, balancer, near, far
     ) -> None:
         callers = _open(network, balancer, 4)
-        assert max(caller.waited for caller in callers) <= TIMEOUT * BUSY_SHARE
+        assert (
+            max(caller.waited for caller in callers)
+            <= TIMEOUT * BUSY_WAIT_FRACTION
+        )
 
     def test_not_at_one_that_is_out(self, network, balancer, near, far) -> None:
         network.mark_zone('north', out=True)
@@ -83,4 +86,4 @@
         assert len(far.server.opened_at) == 2
 
     def test_the_wait_is_short_beside_the_longest(self) -> None:
-        assert ZONE_WAIT <= TIMEOUT * BUSY_SHARE / 2
+        assert ZONE_WAIT <= TIMEOUT * BUSY_WAIT_FRACTION / 2
--- a/redwingstream/packets/tries.py
+++ b/redwingstream/packets/tries.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from redwingstream.packets.bounded import BoundedTable
+from redwingstream.packets.bounded_table import BoundedTable
 from redwingstream.packets.flow import Address, FlowId
 from redwingstream.packets.trust import Trust
 
--- a/redwingstream/packets/trust.py
+++ b/redwingstream/packets/trust.py
@@ -107,7 +107,7 @@
             silent.sent_at = now
         return [pinged for pinged, _ in due[:MAX_PINGS]]
 
-    def forget(self, known: Iterable[Address]) -> None:
+    def retain_only(self, known: Iterable[Address]) -> None:
         """Forget agents that are not among those known."""
         gone = self._contact_by_address.keys() - set(known)
         for address in gone:
