--- a/redwingstream/packets/agent_context.py
+++ b/redwingstream/packets/agent_context.py
@@ -1,4 +1,4 @@
-"""Where an agent is, and what its decisions share."""
+"""State shared by an agent's packet decisions."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,6 +8,7 @@
 from redwingstream.directory.view import Agent, AgentView
 from redwingstream.openings.expectation import longest_wait
 from redwingstream.openings.gate import Gate, Load
+from redwingstream.packets.agent_flows import AgentFlows
 from redwingstream.packets.effects import ToPeer, peer_datagram
 from redwingstream.packets.envelopes import (
     NO_OFFER,
@@ -21,22 +22,21 @@
     Head,
     PacketCodec,
 )
-from redwingstream.packets.agent_flows import AgentFlows
-from redwingstream.packets.refusing import Refusing
-from redwingstream.packets.waiting import WaitingRoom
+from redwingstream.packets.refusals import Refusals
+from redwingstream.packets.waiting_flows import WaitingFlows
 from redwingstream.telemetry.histogram import Histogram
 
 
 @attrs.frozen
 class AgentLocation:
-    """Where an agent is.
+    """Address, availability zone and pool of an agent.
 
     Parameters
     ----------
     address : Address
-        Where it takes packets from other processes.
+        Address at which the agent receives packets from other processes.
     zone, pool : str
-        Its availability zone and its server's pool.
+        Its availability zone, and the pool of its server.
     """
 
     address: Address
@@ -46,7 +46,7 @@
 
 @attrs.define
 class AgentPacketCounters:
-    """What passed an agent's packet path since the start."""
+    """Counts of packets and flows handled by an agent since it started."""
 
     packets_in: int = 0
     packets_out: int = 0
@@ -64,32 +64,33 @@
 
 @attrs.define
 class AgentContext:
-    """What an agent's decisions share.
+    """State shared by an agent's packet decisions.
 
     Parameters
     ----------
-    place : Place
-        Where the agent is.
+    location : AgentLocation
+        Address, availability zone and pool of the agent.
     codec : PacketCodec
-        Reads packets.
+        Reads and writes packet headers.
     gate : Gate
-        Decides on new flows.
+        Decides whether the server is given a new flow.
     view : AgentView
-        The other agents of the pool.
-    flows : FlowBook
-        The flows that it knows.
+        All known agents.
+    flows : AgentFlows
+        Flows of the server, and the carriers of other flows.
     log : callable
-        Takes events.
-    waiting : WaitingRoom
+        Writes a log event.
+    waiting : WaitingFlows
         New flows that wait for the server.
-    counters : CarryingCounters
-        What passed since the start.
+    counters : AgentPacketCounters
+        Counts since the agent started.
     opening_seconds : Histogram
-        From opening packets to the server's first data.
+        Seconds from the opening packet to the server's first data.
     timeout_by_service : dict
-        Seconds after which callers of a service give a request up.
-    refusing : Refusing
-        Ends packets that cannot be forwarded.
+        Seconds after which callers give up a request, by the address that they
+        send to.
+    refusals : Refusals
+        Refuses flows and drops packets that cannot be forwarded.
     """
 
     location: AgentLocation
@@ -98,41 +99,42 @@
     view: AgentView
     flows: AgentFlows
     log: Callable[[Any], None]
-    waiting: WaitingRoom = attrs.field(factory=WaitingRoom)
+    waiting: WaitingFlows = attrs.field(factory=WaitingFlows)
     counters: AgentPacketCounters = attrs.field(factory=AgentPacketCounters)
     opening_seconds: Histogram = attrs.field(factory=Histogram)
     timeout_by_service: dict[Address, float] = attrs.field(factory=dict)
-    refusals: Refusing = attrs.field(init=False)
+    refusals: Refusals = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Make what ends packets that cannot be forwarded."""
-        self.refusals = Refusing(self.codec, self.log)
+        """Create the refusals with the codec and log of this agent."""
+        self.refusals = Refusals(self.codec, self.log)
 
     def load(self) -> Load:
-        """Return what the server has to do."""
+        """Return the current load of the server."""
         return Load(self.flows.waiting, self.flows.count, len(self.waiting))
 
-    def longest_wait(self, head: Head, now: float) -> float:
-        """Return the seconds that a new flow may wait."""
+    def max_wait(self, head: Head, now: float) -> float:
+        """Return the maximum number of seconds that a new flow may wait."""
         timeout = self.timeout_by_service.get(head.target, 0)
         is_cold = self.gate.is_cold(now)
         return longest_wait(head.acknowledged, timeout, is_cold=is_cold)
 
-    def offer(self, head: Head, now: float) -> int:
-        """Return how soon the server would take a new flow.
+    def offered_wait(self, head: Head, now: float) -> int:
+        """Return the expected wait of a new flow at this agent.
 
         Returns
         -------
         int
-            As an envelope names it; ``NO_OFFER`` when not soon enough.
+            The wait in units of ``OFFER_UNIT``; ``NO_OFFER`` if the flow cannot
+            wait here or would wait too long.
         """
         wait = self.gate.expected_wait(self.load(), now)
-        if self.waiting.is_full or wait > self.longest_wait(head, now):
+        if self.waiting.is_full or wait > self.max_wait(head, now):
             return NO_OFFER
         return round(wait / OFFER_UNIT)
 
     def peers(self) -> list[Agent]:
-        """Return the other agents of the pool."""
+        """Return the other agents of the pool whose servers are not gone."""
         own = self.location.address
         return [
             agent
@@ -140,10 +142,10 @@
             if agent.address != own and not agent.readiness.is_gone
         ]
 
-    def announce(self, envelope: Envelope) -> list[ToPeer]:
-        """Tell balancer and home of an envelope that its flow is here."""
+    def notify_carried(self, envelope: Envelope) -> list[ToPeer]:
+        """Notify balancer and home that the flow of an envelope is here."""
         own = self.location.address
-        word = Envelope(
+        notice = Envelope(
             Kind.CARRIED,
             self.codec.head_only(envelope.packet),
             envelope.origin,
@@ -151,4 +153,4 @@
             best=own,
         )
         targets = {envelope.origin, envelope.home} - {own, NO_ADDRESS}
-        return [peer_datagram(word, target) for target in sorted(targets)]
+        return [peer_datagram(notice, target) for target in sorted(targets)]
--- a/redwingstream/packets/agent_flows.py
+++ b/redwingstream/packets/agent_flows.py
@@ -1,4 +1,4 @@
-"""The flows that an agent knows: its server's, and where others are."""
+"""The flows known to an agent: those of its server, and carriers of others."""
 
 import enum
 
@@ -9,30 +9,35 @@
 from redwingstream.packets.flow import Address, FlowId
 
 MAX_FLOWS = 20000
-"""Flows that are remembered; a server holds 2,000 and closes the rest."""
+"""Maximum number of flows of the server that are remembered; a server holds
+2,000 and closes the rest."""
 
-MAX_ELSEWHERE = 40000
-"""Flows of which this agent knows where else they are carried; losing one
-costs a search."""
+MAX_CARRIERS = 40000
+"""Maximum number of flows whose carrier is remembered; without it a lookup is
+needed."""
 
 DEFAULT_FLOW_LIFE = 60.0
-"""Seconds after which a flow may be given up, where nobody says otherwise: the
-users' figure."""
+"""Default maximum life of a flow in seconds, as required by the users."""
 
-WAITING_SECONDS = 1.5
-"""After so long a request that the server has not begun to answer does not
-count as load any more: it was lost, or the server has given it up.  Under
-overload a request waits for a second here and some tenths at the server."""
+MAX_ANSWER_WAIT = 1.5
+"""Seconds after which a request that the server has not begun to answer no
+longer counts as load: it was lost, or the server has given it up.  Under
+overload a request waits for one second at the agent and some tenths at the
+server."""
 
-HANDSHAKE_SECONDS = 0.15
-"""After so long a flow whose caller has not gone on does not count as load.  A
-caller goes on within a round trip; one that has given up, because its packet
-waited here, never does.  Counted like others, such flows fill the servers'
-places on paper, and new ones wait so long that their callers give up too."""
+MAX_HANDSHAKE_WAIT = 0.15
+"""Seconds after which a new flow without a request no longer counts as load.  A
+caller sends its request within a round trip, but never if it has given up while
+its opening packet waited here.  If such flows counted as load, idle servers
+would appear busy, and new flows would wait until their callers give up too."""
 
 
 class FlowState(enum.Enum):
-    """How far a flow has come at this server."""
+    """Progress of a flow at the server.
+
+    ``OFFERED``: the opening packet was delivered.  ``ACCEPTED``: the server has
+    accepted the flow.  ``ESTABLISHED``: the server has sent another packet.
+    """
 
     OFFERED = enum.auto()
     ACCEPTED = enum.auto()
@@ -41,20 +46,22 @@
 
 @attrs.define
 class CarriedFlow:
-    """A flow at the server beside this agent.
+    """A flow of the server beside this agent.
 
     Parameters
     ----------
     flow : FlowId
         The flow.
     envelope : Envelope
-        With which its opening packet came.
-    standing : Standing
-        How far it has come.
+        Envelope of its opening packet, without a packet if the flow was opened
+        before this agent started.
+    state : FlowState
+        Progress of the flow at the server.
     opened_at : float
-        When the opening packet came.
-    waits_since : float or None
-        Since when the server owes an answer.
+        Time in seconds at which the opening packet was delivered.
+    wait_started_at : float or None
+        Time in seconds from which an answer of the server is awaited; None if
+        none is.
     has_asked : bool
         True once the caller has sent data.
     has_answered : bool
@@ -65,33 +72,38 @@
 
     flow: FlowId
     envelope: Envelope
-    standing: FlowState
+    state: FlowState
     opened_at: float
-    waits_since: float | None = None
+    wait_started_at: float | None = None
     has_asked: bool = False
     has_answered: bool = False
     is_ending: bool = False
 
     def is_given_up(self, now: float) -> bool:
-        """Whether nobody waits for the server's answer any more."""
-        if self.waits_since is None:
+        """Whether the answer is overdue and no longer counts as load."""
+        if self.wait_started_at is None:
             return False
-        limit = WAITING_SECONDS if self.has_asked else HANDSHAKE_SECONDS
-        return now - self.waits_since > limit
+        limit = MAX_ANSWER_WAIT if self.has_asked else MAX_HANDSHAKE_WAIT
+        return now - self.wait_started_at > limit
 
 
 class AgentFlows:
-    """The flows that one agent knows.
+    """The flows known to one agent.
 
     Parameters
     ----------
     idle_timeout : float
-        Seconds after which a flow without packets is forgotten.
+        Seconds without packets after which a flow of the server is evicted.
     flow_life : float
-        Seconds after which any flow may be given up.  For so long it is
-        remembered where else a flow is carried: its packets pass by hints of
-        the balancers, so nothing is seen of it here, and when the balancers
-        change, this is what finds it.
+        Maximum life of a flow in seconds.  The carriers of other flows are
+        remembered for this time: by the hints of the balancers, the packets of
+        these flows do not pass this agent, and when the balancers change, this
+        agent must still know the carriers.
+
+    Attributes
+    ----------
+    waiting : int
+        Number of flows that await an answer of the server.
     """
 
     def __init__(
@@ -102,79 +114,80 @@
         self._carried: BoundedTable[FlowId, CarriedFlow] = BoundedTable(
             MAX_FLOWS, idle_timeout
         )
-        self._elsewhere: BoundedTable[FlowId, Address] = BoundedTable(
-            MAX_ELSEWHERE, flow_life
+        self._carriers: BoundedTable[FlowId, Address] = BoundedTable(
+            MAX_CARRIERS, flow_life
         )
 
     @property
     def count(self) -> int:
-        """How many flows of this server are known."""
+        """Number of known flows of the server."""
         return len(self._carried)
 
     @property
     def idle_timeout(self) -> float:
-        """Seconds after which a flow without packets is forgotten."""
+        """Seconds without packets after which a flow is evicted."""
         return self._carried.age
 
     def extend_idle_timeout(self, idle_timeout: float) -> None:
-        """Go by another time-out from now on, when it is a longer one.
+        """Apply another idle time-out if it is longer than the current one.
 
-        Flows that were opened under a longer one may rest for as long as that.
-        To remember a flow too long costs a row; one that is forgotten while its
-        server holds it goes astray, or is taken for dead.
+        Flows opened under a longer time-out may be idle for that long.  A flow
+        that is remembered too long costs only memory, but packets of a flow
+        that is evicted while its server holds it may not reach the server, or
+        the flow is declared dead.
         """
         self._carried.age = max(self._carried.age, idle_timeout)
 
-    def carried(self, flow: FlowId, now: float) -> CarriedFlow | None:
-        """Return a flow of this server; None when it is not known as such."""
+    def find_carried(self, flow: FlowId, now: float) -> CarriedFlow | None:
+        """Return a flow of the server, or None if it is not known."""
         return self._carried.get(flow, now)
 
-    def elsewhere(self, flow: FlowId, now: float) -> Address | None:
-        """Return the agent that carries a flow, as far as known."""
-        return self._elsewhere.get(flow, now)
+    def find_carrier(self, flow: FlowId, now: float) -> Address | None:
+        """Return the other agent that carries a flow, or None if not known."""
+        return self._carriers.get(flow, now)
 
-    def note_elsewhere(self, flow: FlowId, agent: Address, now: float) -> None:
-        """Remember that another agent carries a flow."""
-        self._elsewhere.put(flow, agent, now)
+    def record_carrier(self, flow: FlowId, agent: Address, now: float) -> None:
+        """Record that another agent carries a flow."""
+        self._carriers.put(flow, agent, now)
 
     def add(self, carried: CarriedFlow, now: float) -> None:
-        """Remember a flow of this server."""
+        """Add a flow of the server."""
         self._carried.put(carried.flow, carried, now)
 
-    def forget(self, carried: CarriedFlow) -> None:
-        """Forget a flow of this server."""
-        self.settle(carried)
+    def remove(self, carried: CarriedFlow) -> None:
+        """Remove a flow of the server."""
+        self.stop_waiting(carried)
         self._carried.pop(carried.flow)
 
-    def owe(self, carried: CarriedFlow, now: float) -> None:
-        """The server owes an answer."""
-        if carried.waits_since is None:
+    def start_waiting(self, carried: CarriedFlow, now: float) -> None:
+        """Count the flow as awaiting an answer of the server."""
+        if carried.wait_started_at is None:
             self.waiting += 1
-            carried.waits_since = now
+            carried.wait_started_at = now
 
-    def ask(self, carried: CarriedFlow, now: float) -> None:
-        """The caller has sent data, so the server owes an answer."""
+    def record_request(self, carried: CarriedFlow, now: float) -> None:
+        """Record that the caller has sent data and awaits an answer."""
         if not carried.has_asked:
             carried.has_asked = True
-            self.settle(carried)
-        self.owe(carried, now)
+            self.stop_waiting(carried)
+        self.start_waiting(carried, now)
 
-    def settle(self, carried: CarriedFlow) -> None:
-        """The server owes no answer any more."""
-        if carried.waits_since is not None:
+    def stop_waiting(self, carried: CarriedFlow) -> None:
+        """Count the flow as no longer awaiting an answer."""
+        if carried.wait_started_at is not None:
             self.waiting -= 1
-            carried.waits_since = None
+            carried.wait_started_at = None
 
-    def forget_old(self, now: float) -> None:
-        """Forget what is old, and what the server will not answer any more."""
-        for old in self._carried.forget_old(now):
-            self.settle(old)
-        self._elsewhere.forget_old(now)
+    def evict_expired(self, now: float) -> None:
+        """Evict expired flows, and stop waiting for overdue answers."""
+        for old in self._carried.evict_expired(now):
+            self.stop_waiting(old)
+        self._carriers.evict_expired(now)
         for carried in self._carried.rows():
             if carried.is_given_up(now):
-                self.settle(carried)
+                self.stop_waiting(carried)
 
     def clear(self) -> None:
-        """Forget this server's flows: another run of it holds none of them."""
+        """Remove all flows of the server, which holds none after a restart."""
         for carried in self._carried.rows():
-            self.forget(carried)
+            self.remove(carried)
--- a/redwingstream/packets/agent_forwarder.py
+++ b/redwingstream/packets/agent_forwarder.py
@@ -1,16 +1,21 @@
-"""An agent's decisions about packets: what comes, and from whom."""
+"""An agent's decisions about packets.
+
+Packets from balancers and other agents are dispatched by kind to the handlers
+of new and open flows; packets from the server are forwarded to the callers and
+update what is known of their flows.
+"""
 
 from redwingstream.packets import events
-from redwingstream.packets.admitting import Admitting
+from redwingstream.packets.agent_context import AgentContext
+from redwingstream.packets.agent_flows import CarriedFlow, FlowState
 from redwingstream.packets.effects import Outgoing, ToCaller, peer_datagram
 from redwingstream.packets.envelopes import (
     Envelope,
     Kind,
 )
 from redwingstream.packets.flow import Address, FlowId, Head, flow_text
-from redwingstream.packets.agent_flows import CarriedFlow, FlowState
-from redwingstream.packets.searching import Searching
-from redwingstream.packets.agent_context import AgentContext
+from redwingstream.packets.new_flows import NewFlowHandler
+from redwingstream.packets.open_flows import OpenFlowHandler
 
 
 class AgentForwarder:
@@ -18,122 +23,128 @@
 
     Parameters
     ----------
-    site : Site
-        What an agent's decisions share.
-    listens_since : float
-        Time from which on this agent has seen all packets of its server.
+    context : AgentContext
+        State shared by the agent's packet decisions.
+    started_at : float
+        Time in seconds at which the agent started; it has seen all packets of
+        its server since then.
     """
 
-    def __init__(self, site: AgentContext, listens_since: float) -> None:
-        self.site = site
-        self._admitting = Admitting(site)
-        self._searching = Searching(site, listens_since)
+    def __init__(self, context: AgentContext, started_at: float) -> None:
+        self.context = context
+        self._new_flows = NewFlowHandler(context)
+        self._open_flows = OpenFlowHandler(context, started_at)
 
     def handle_envelope(
         self, envelope: Envelope, source: Address, now: float
     ) -> list[Outgoing]:
-        """Take what another process sent."""
-        self.site.counters.packets_in += 1
+        """Handle an envelope from a balancer or another agent."""
+        self.context.counters.packets_in += 1
         match envelope.kind:
             case Kind.PING:
                 return [peer_datagram(Envelope(Kind.PONG, b''), source)]
             case Kind.OPENING:
-                return self._admitting.take(envelope, now)
+                return self._new_flows.handle_opening(envelope, now)
             case Kind.ONGOING | Kind.LOOKUP:
-                return self._searching.take(envelope, now)
-        return self._take_flow_location(envelope, source, now)
+                return self._open_flows.handle_packet(envelope, now)
+        return self._handle_flow_location(envelope, source, now)
 
     def handle_server_packet(self, packet: bytes, now: float) -> list[Outgoing]:
-        """Take what the server beside this agent sent."""
-        site = self.site
-        site.counters.packets_out += 1
-        head = site.codec.read(packet)
-        site.gate.record_answer()
+        """Handle a packet sent by the server beside this agent."""
+        context = self.context
+        context.counters.packets_out += 1
+        head = context.codec.read(packet)
+        context.gate.record_answer()
         if head.is_returned:
-            return self._take_returned(head, now)
-        carried = site.flows.carried(head.outbound, now)
-        sending: list[Outgoing] = [ToCaller(packet, head.target)]
+            return self._handle_returned(head, now)
+        carried = context.flows.find_carried(head.outbound, now)
+        outgoing: list[Outgoing] = [ToCaller(packet, head.target)]
         if carried is None:
             carried = self._rediscover(head.outbound, head, now)
-        sending.extend(self._searching.report_held(head.outbound))
+        outgoing.extend(self._open_flows.handle_server_answer(head.outbound))
         if head.is_accepting:
-            sending.extend(self._accept(carried))
+            outgoing.extend(self._handle_acceptance(carried))
         else:
-            carried.standing = FlowState.ESTABLISHED
-        self._note_progress(carried, head, now)
-        return sending
+            carried.state = FlowState.ESTABLISHED
+        self._record_progress(carried, head, now)
+        return outgoing
 
     def process_waiting(self, now: float) -> list[Outgoing]:
-        """Let new flows go on that wait and need not any more."""
-        return self._admitting.release(now)
+        """Open, refuse or pass on new flows whose wait has ended."""
+        return self._new_flows.process_waiting(now)
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Expire old entries and retry unanswered lookups."""
-        self.site.flows.forget_old(now)
-        return self._searching.tick(now)
+        """Evict expired entries and retry unanswered lookups."""
+        self.context.flows.evict_expired(now)
+        return self._open_flows.tick(now)
 
-    def _take_flow_location(
+    def _handle_flow_location(
         self, envelope: Envelope, source: Address, now: float
     ) -> list[Outgoing]:
         match envelope.kind:
             case Kind.CARRIED:
-                return self._note_elsewhere(envelope, now)
+                return self._record_carrier(envelope, now)
             case Kind.NOT_CARRIED:
-                return self._searching.note_not_carried(envelope, source, now)
+                return self._open_flows.handle_not_carried(
+                    envelope, source, now
+                )
         return []
 
-    def _note_progress(
+    def _record_progress(
         self, carried: CarriedFlow, head: Head, now: float
     ) -> None:
-        self._note_outcome(carried, head, now)
+        self._record_outcome(carried, head, now)
         if head.is_end or head.is_reset:
             carried.is_ending = True
         if head.size and not carried.has_answered:
             carried.has_answered = True
-            self.site.opening_seconds.note(now - carried.opened_at)
+            self.context.opening_seconds.note(now - carried.opened_at)
         if head.size or carried.is_ending:
-            self.site.flows.settle(carried)
+            self.context.flows.stop_waiting(carried)
 
-    def _note_outcome(
+    def _record_outcome(
         self, carried: CarriedFlow, head: Head, now: float
     ) -> None:
-        site = self.site
-        is_waited_for = carried.has_asked and carried.waits_since is not None
+        context = self.context
+        is_waited_for = (
+            carried.has_asked and carried.wait_started_at is not None
+        )
         if not is_waited_for or carried.is_ending:
             return
-        if head.size and site.gate.failures.record_served(now):
-            site.log(events.ServerTrusted(flow_text(carried.flow)))
-        if head.is_reset and site.gate.failures.record_failed(now):
-            site.log(events.ServerDoubted(flow_text(carried.flow)))
-
-    def _take_returned(self, head: Head, now: float) -> list[Outgoing]:
-        self.site.counters.handed_back += 1
-        carried = self.site.flows.carried(head.inbound, now)
+        if head.size and context.gate.failures.record_served(now):
+            context.log(events.ServerTrusted(flow_text(carried.flow)))
+        if head.is_reset and context.gate.failures.record_failed(now):
+            context.log(events.ServerDoubted(flow_text(carried.flow)))
+
+    def _handle_returned(self, head: Head, now: float) -> list[Outgoing]:
+        self.context.counters.handed_back += 1
+        carried = self.context.flows.find_carried(head.inbound, now)
         if head.is_opening:
-            return self._admitting.returned(head, carried, now)
-        return self._searching.returned(head, carried, now)
+            return self._new_flows.handle_returned(head, carried, now)
+        return self._open_flows.handle_returned(head, carried, now)
 
-    def _note_elsewhere(self, envelope: Envelope, now: float) -> list[Outgoing]:
-        if envelope.best == self.site.location.address:
+    def _record_carrier(self, envelope: Envelope, now: float) -> list[Outgoing]:
+        if envelope.best == self.context.location.address:
             return []
-        flow = self.site.codec.read(envelope.packet).inbound
-        self.site.flows.note_elsewhere(flow, envelope.best, now)
-        return self._searching.note_carried(flow, envelope.best)
+        flow = self.context.codec.read(envelope.packet).inbound
+        self.context.flows.record_carrier(flow, envelope.best, now)
+        return self._open_flows.handle_carried(flow, envelope.best)
 
-    def _accept(self, carried: CarriedFlow) -> list[Outgoing]:
-        if carried.standing is FlowState.ESTABLISHED:
+    def _handle_acceptance(self, carried: CarriedFlow) -> list[Outgoing]:
+        if carried.state is FlowState.ESTABLISHED:
             return []
-        if carried.standing is FlowState.OFFERED:
-            self.site.counters.accepted += 1
-            carried.standing = FlowState.ACCEPTED
-        return list(self.site.announce(carried.envelope))
+        if carried.state is FlowState.OFFERED:
+            self.context.counters.accepted += 1
+            carried.state = FlowState.ACCEPTED
+        return list(self.context.notify_carried(carried.envelope))
 
     def _rediscover(self, flow: FlowId, head: Head, now: float) -> CarriedFlow:
-        standing = FlowState.ESTABLISHED
+        state = FlowState.ESTABLISHED
         if head.is_accepting:
-            standing = FlowState.ACCEPTED
-        carried = CarriedFlow(flow, Envelope(Kind.ONGOING, b''), standing, now)
-        # When it was opened is not known.
+            state = FlowState.ACCEPTED
+        carried = CarriedFlow(flow, Envelope(Kind.ONGOING, b''), state, now)
+        # The time at which the flow was opened is unknown, so the time to its
+        # first answer must not be counted.
         carried.has_answered = True
-        self.site.flows.add(carried, now)
+        self.context.flows.add(carried, now)
         return carried
--- a/redwingstream/packets/choosing.py
+++ b/redwingstream/packets/agent_selector.py
@@ -1,33 +1,34 @@
-"""Which agent a balancer sends a packet to."""
+"""Selection of the agent that a balancer sends a packet to."""
 
 from redwingstream.directory.messages import Readiness
 from redwingstream.directory.view import Agent, AgentView
 from redwingstream.packets.flow import Address, FlowId
-from redwingstream.packets.ranking import pool_hash, ranked, share_point
+from redwingstream.packets.ranking import pool_hash, rank_agents, share_point
 from redwingstream.packets.trust import Trust
 from redwingstream.tables.rows import Route
 from redwingstream.tables.snapshot import Tables
 
-MAX_NAMED = 8
-"""Doubted agents that an opening packet names; twice as many as look at it."""
+MAX_DOUBTED = 8
+"""Maximum number of doubted agents named in an opening packet: twice the number
+of agents that decide on it."""
 
-_WANTED = 0
-_PASSES_ON = 1
+_PREFERRED = 0
+_WOULD_PASS_ON = 1
 _TRIED = 2
 _SILENT = 3
 
 
-class Choosing:
-    """Chooses agents for flows.
+class AgentSelector:
+    """Selects agents for flows.
 
     Parameters
     ----------
     zone : str
-        The balancer's availability zone.
+        Availability zone of the balancer.
     view : AgentView
-        The agents of all pools.
+        Agents of all pools.
     trust : Trust
-        Which of them did not answer.
+        Knows which agents do not answer.
     """
 
     def __init__(self, zone: str, view: AgentView, trust: Trust) -> None:
@@ -36,30 +37,33 @@
         self._view = view
         self._trust = trust
 
-    def for_opening(
+    def select_for_opening(
         self, flow: FlowId, pool: str, tried: tuple[Address, ...], now: float
     ) -> Address | None:
-        """Return the agent that is offered a new flow; None without any.
+        """Return the agent that is offered a new flow, or None if none exists.
 
         Parameters
         ----------
         flow : FlowId
             The flow.
         pool : str
-            Its pool.
+            Name of its pool.
         tried : tuple of Address
-            Agents that were sent earlier copies of the opening packet.
+            Agents that were sent the opening packet or copies of it before.
         now : float
-            The time in seconds.
+            Current time in seconds, by the event loop's clock.
         """
-        order = ranked(flow, self._present(pool), self._zone)
-        order.sort(key=lambda agent: self._reluctance(agent, tried, now))
+        order = rank_agents(flow, self._present_agents(pool), self._zone)
+        order.sort(key=lambda agent: self._preference(agent, tried, now))
         return order[0].address if order else None
 
-    def home(
-        self, flow: FlowId, route: Route, missed: tuple[int, ...], now: float
+    def find_home(
+        self, flow: FlowId, route: Route, searched: tuple[int, ...], now: float
     ) -> Address | None:
-        """Return the agent that knows where an open flow is, or finds out.
+        """Return the home of an open flow, or None if there is no agent.
+
+        The home knows the carrier of the flow or looks it up.  The pools that
+        serve the route come first, then those that served it before.
 
         Parameters
         ----------
@@ -67,61 +71,62 @@
             The flow.
         route : Route
             Its route.
-        missed : tuple of int
-            Hashes of pools in which nobody carries it.
+        searched : tuple of int
+            Hashes of pools in which no agent carries the flow.
         now : float
-            The time in seconds.
+            Current time in seconds, by the event loop's clock.
         """
         first = pool_for(route, flow)
         for pool in dict.fromkeys((first, *route.pools, *route.rules.earlier)):
-            if pool_hash(pool) not in missed:
+            if pool_hash(pool) not in searched:
                 home = self._home_in(flow, pool, now)
                 if home is not None:
                     return home
         return None
 
-    def doubted(
+    def doubted_agents(
         self, pool: str, target: Address, now: float
     ) -> tuple[Address, ...]:
-        """Return agents to which the target is not to pass a new flow on."""
+        """Return doubted agents, which the target must not pass a flow to."""
         found = [
             agent.address
             for agent in self._view.agents_in_pool(pool)
             if agent.address != target
             and self._trust.is_doubted(agent.address, now)
         ]
-        return tuple(found[:MAX_NAMED])
+        return tuple(found[:MAX_DOUBTED])
 
     def _home_in(self, flow: FlowId, pool: str, now: float) -> Address | None:
-        order = ranked(flow, self._present(pool), self._zone)
+        order = rank_agents(flow, self._present_agents(pool), self._zone)
         order.sort(key=lambda agent: self._is_silent(agent, now))
         return order[0].address if order else None
 
-    def _present(self, pool: str) -> list[Agent]:
+    def _present_agents(self, pool: str) -> list[Agent]:
         return [
             agent
             for agent in self._view.agents_in_pool(pool)
             if not agent.readiness.is_gone
         ]
 
-    def _reluctance(
+    def _preference(
         self, agent: Agent, tried: tuple[Address, ...], now: float
     ) -> int:
+        """Return the rank of an agent for a new flow; lower is preferred."""
         if self._is_silent(agent, now):
             return _SILENT
         if agent.address in tried:
             return _TRIED
         is_out = self.tables.is_zone_out(agent.zone)
         if is_out or agent.readiness is not Readiness.READY:
-            return _PASSES_ON
-        return _WANTED
+            return _WOULD_PASS_ON
+        return _PREFERRED
 
     def _is_silent(self, agent: Agent, now: float) -> bool:
         return agent.is_silent or self._trust.is_doubted(agent.address, now)
 
 
 def pool_for(route: Route, flow: FlowId) -> str:
-    """Return the pool that serves a new flow, by the route's shares."""
+    """Return the pool that serves a new flow, by the shares of its route."""
     shares = route.rules.shares
     if not shares:
         return route.pool
--- a/redwingstream/packets/balancer_forwarder.py
+++ b/redwingstream/packets/balancer_forwarder.py
@@ -1,9 +1,10 @@
 """A balancer's decisions about packets.
 
-A balancer holds nothing that another process needs.  It remembers where flows
-are carried, and without that memory sends a packet to the flow's *home*, the
-first agent of the pool by :func:`redwingstream.packets.ranking.ranked`, which
-remembers or searches.
+A balancer has no state that another process depends on.  It keeps a *hint* per
+flow: the agent that carries the flow, whose server serves it.  Without a hint
+it sends the packet to the *home* of the flow, the first agent of the pool by
+:func:`redwingstream.packets.ranking.rank_agents`, which knows the carrier or
+looks it up.
 """
 
 from collections.abc import Callable
@@ -14,10 +15,10 @@
 from redwingstream.directory.view import AgentView
 from redwingstream.openings.patience import has_caller_given_up
 from redwingstream.packets import events
+from redwingstream.packets.agent_selector import AgentSelector, pool_for
 from redwingstream.packets.bounded_table import BoundedTable
-from redwingstream.packets.choosing import Choosing, pool_for
 from redwingstream.packets.dead_flows import DeadFlows
-from redwingstream.packets.early import EarlyPackets
+from redwingstream.packets.early_packets import EarlyPackets
 from redwingstream.packets.effects import (
     Outgoing,
     ToCaller,
@@ -34,22 +35,22 @@
     flow_text,
     text_of,
 )
+from redwingstream.packets.opening_attempts import OpeningAttempts
 from redwingstream.packets.ranking import pool_hash
-from redwingstream.packets.refusing import Refusing
-from redwingstream.packets.routebook import RouteBook
-from redwingstream.packets.tries import Tries
+from redwingstream.packets.refusals import Refusals
+from redwingstream.packets.route_table import RouteTable
 from redwingstream.packets.trust import Trust
 from redwingstream.tables.rows import Route
 from redwingstream.tables.snapshot import Tables
 
 MAX_HINTS = 60000
-"""Flows of which a balancer remembers the agent: 15 MB.  Losing one costs its
-next packet a hop."""
+"""Maximum number of hints, which take 15 MB.  Without its hint the next packet
+of a flow takes one more hop."""
 
 
 @attrs.define
 class BalancerPacketCounters:
-    """What passed a balancer's packet path since the start."""
+    """Counts of packets and flows handled by a balancer since it started."""
 
     packets: int = 0
     opened: int = 0
@@ -67,17 +68,17 @@
     Parameters
     ----------
     address : Address
-        Where the balancer takes datagrams from other processes.
+        Address at which the balancer receives datagrams of other processes.
     zone : str
-        Its availability zone.
+        Availability zone of the balancer.
     codec : PacketCodec
-        Reads packets.
+        Reads and writes packet headers.
     view : AgentView
-        The agents of all pools.
+        Agents of all pools.
     log : callable
-        Takes events.
+        Writes a log event.
     idle_timeout : float
-        Seconds after which a flow without packets is forgotten.
+        Seconds without packets after which the hint of a flow is evicted.
     """
 
     def __init__(
@@ -95,79 +96,79 @@
         self._codec = codec
         self._log = log
         self.trust = Trust(log)
-        self.refusals = Refusing(codec, log)
-        self._choosing = Choosing(zone, view, self.trust)
+        self.refusals = Refusals(codec, log)
+        self._selector = AgentSelector(zone, view, self.trust)
         self.hints: BoundedTable[FlowId, Address] = BoundedTable(
             MAX_HINTS, idle_timeout
         )
-        self._tries = Tries(self.trust)
+        self._attempts = OpeningAttempts(self.trust)
         self.dead_flows = DeadFlows(view)
         self.early = EarlyPackets()
-        self.routes = RouteBook(view)
+        self.routes = RouteTable(view)
 
     def apply_tables(
         self, tables: Tables, route_by_service: dict[Address, Route]
     ) -> None:
-        """Go by newer tables from now on."""
+        """Apply newer tables."""
         self.tables = tables
-        self._choosing.tables = tables
+        self._selector.tables = tables
         self.refusals.revision = tables.revision
         self.routes.route_by_service = route_by_service
 
     def handle_packet(self, packet: bytes, now: float) -> list[Outgoing]:
-        """Take a caller's packet from the fabric."""
+        """Handle a caller's packet, received from the fabric."""
         self.counters.packets += 1
-        return self._steer(self._codec.read(packet), packet, now)
+        return self._forward(self._codec.read(packet), packet, now)
 
     def retry_early(self, now: float) -> list[Outgoing]:
-        """Send on packets that came before the tables or the agents did."""
-        sending: list[Outgoing] = []
+        """Forward packets that arrived before tables or agents were known."""
+        outgoing: list[Outgoing] = []
         for one in self.early.pop_all():
             head = self._codec.read(one.packet)
-            if one.is_repeated(now):
+            if one.is_expired(now):
                 self.refusals.drop(head, 'route or agents not known in time')
-            elif self.routes.may_come(head.target, now):
-                self.early.keep(one.packet, one.since)
+            elif self.routes.may_become_reachable(head.target, now):
+                self.early.add(one.packet, one.received_at)
             else:
-                sending.extend(self._steer(head, one.packet, now))
-        return sending
+                outgoing.extend(self._forward(head, one.packet, now))
+        return outgoing
 
     def handle_envelope(
         self, envelope: Envelope, source: Address, now: float
     ) -> list[Outgoing]:
-        """Take what an agent sent."""
-        self.trust.note_heard(source, now)
+        """Handle an envelope from an agent."""
+        self.trust.record_heard(source, now)
         match envelope.kind:
             case Kind.CARRIED:
-                self._note_carried(envelope, now)
+                self._record_carried(envelope, now)
             case Kind.PASSED:
-                self._note_passed(envelope, now)
+                self._record_passed(envelope, now)
             case Kind.NOT_CARRIED:
-                self._note_not_carried(envelope, now)
+                self._record_not_carried(envelope, now)
             case Kind.PING:
                 return [peer_datagram(Envelope(Kind.PONG, b''), source)]
         return []
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Forget what is old; ask agents that have been silent."""
-        self.hints.forget_old(now)
-        self._tries.forget_old(now)
-        self.dead_flows.forget_old(now)
+        """Evict expired entries, ping silent agents, retry early packets."""
+        self.hints.evict_expired(now)
+        self._attempts.evict_expired(now)
+        self.dead_flows.evict_expired(now)
         ping = Envelope(Kind.PING, b'', self._address)
-        pings = [peer_datagram(ping, due) for due in self.trust.due(now)]
+        pings = [peer_datagram(ping, due) for due in self.trust.due_pings(now)]
         return [*pings, *self.retry_early(now)]
 
     def reset_dead_flows(self, now: float) -> list[Outgoing]:
-        """Tell callers of flows that no server holds; after control answered.
+        """Send resets to the callers of flows that no server holds.
 
-        Without it, callers of flows that have died with their servers wait for
-        their requests' time-outs, and the first requests after a loss of power
-        fail on dead flows.
+        To be called after a control instance has answered.  Without resets,
+        callers of flows that were lost with their servers wait until their
+        requests time out, and the first requests after a power loss fail.
         """
         if not self.routes.is_confirmed(now):
             return []
-        sending: list[Outgoing] = []
-        for head in self.dead_flows.proved(self.routes, now):
+        outgoing: list[Outgoing] = []
+        for head in self.dead_flows.pop_proven(self.routes, now):
             self.counters.declared_dead += 1
             self._log(
                 events.FlowDeclaredDead(
@@ -176,19 +177,21 @@
                     round(now - self.routes.confirmed_at, 3),
                 ),
             )
-            sending.append(ToCaller(self._codec.reset_for(head), head.source))
-        return sending
+            outgoing.append(ToCaller(self._codec.reset_for(head), head.source))
+        return outgoing
 
-    def _steer(self, head: Head, packet: bytes, now: float) -> list[Outgoing]:
+    def _forward(self, head: Head, packet: bytes, now: float) -> list[Outgoing]:
         if head.is_opening:
-            return self._open(head, packet, now)
-        return self._go_on(head, packet, now)
+            return self._forward_opening(head, packet, now)
+        return self._forward_ongoing(head, packet, now)
 
-    def _open(self, head: Head, packet: bytes, now: float) -> list[Outgoing]:
+    def _forward_opening(
+        self, head: Head, packet: bytes, now: float
+    ) -> list[Outgoing]:
         flow = head.inbound
-        self.dead_flows.note_found(flow)
-        if self.routes.may_come(head.target, now):
-            self.early.keep(packet, now)
+        self.dead_flows.record_found(flow)
+        if self.routes.may_become_reachable(head.target, now):
+            self.early.add(packet, now)
             return []
         route = self.routes.find(head.target)
         if route is None:
@@ -200,17 +203,17 @@
             return [self._opening_to(hint, packet, pool, now)]
         if has_caller_given_up(head.acknowledged, route.rules.timeout):
             return self.refusals.drop(head, 'its caller has given up')
-        return self._offer(head, packet, pool, now)
+        return self._offer_flow(head, packet, pool, now)
 
-    def _offer(
+    def _offer_flow(
         self, head: Head, packet: bytes, pool: str, now: float
     ) -> list[Outgoing]:
         flow = head.inbound
-        tried = self._tries.tried(flow, now)
-        target = self._choosing.for_opening(flow, pool, tried, now)
+        tried = self._attempts.tried_agents(flow, now)
+        target = self._selector.select_for_opening(flow, pool, tried, now)
         if target is None:
             return self.refusals.refuse(head, 'no agent', 0)
-        self._tries.note_sent(flow, target, now)
+        self._attempts.record_sent(flow, target, now)
         self.counters.opened += 1
         self._log(
             events.FlowSent(
@@ -234,28 +237,30 @@
             target,
             pool_hash(pool),
             self.tables.revision,
-            visited=self._choosing.doubted(pool, target, now),
+            visited=self._selector.doubted_agents(pool, target, now),
         )
         return peer_datagram(envelope, target)
 
-    def _go_on(self, head: Head, packet: bytes, now: float) -> list[Outgoing]:
+    def _forward_ongoing(
+        self, head: Head, packet: bytes, now: float
+    ) -> list[Outgoing]:
         flow = head.inbound
         hint = self.hints.get(flow, now)
         if hint is not None:
             self.counters.by_hint += 1
             return [self._ongoing_to(hint, packet)]
-        if self.routes.may_come(head.target, now):
-            self.early.keep(packet, now)
+        if self.routes.may_become_reachable(head.target, now):
+            self.early.add(packet, now)
             return []
         route = self.routes.find(head.target)
         if route is None:
             return self.refusals.drop(head, 'no route')
-        missed = self.dead_flows.pools_without(flow, now)
-        home = self._choosing.home(flow, route, missed, now)
+        searched = self.dead_flows.searched_pools(flow, now)
+        home = self._selector.find_home(flow, route, searched, now)
         if home is None:
             return self.refusals.drop(head, 'no agent')
         self.counters.by_home += 1
-        self.trust.note_sent(home, now)
+        self.trust.record_sent(home, now)
         return [self._ongoing_to(home, packet)]
 
     def _ongoing_to(self, target: Address, packet: bytes) -> ToPeer:
@@ -268,20 +273,22 @@
         )
         return peer_datagram(envelope, target)
 
-    def _note_carried(self, envelope: Envelope, now: float) -> None:
+    def _record_carried(self, envelope: Envelope, now: float) -> None:
         if envelope.best == NO_ADDRESS:
             return
         flow = self._codec.read(envelope.packet).inbound
         self.hints.put(flow, envelope.best, now)
-        self.dead_flows.note_found(flow)
-        self._tries.note_answered(flow, now)
+        self.dead_flows.record_found(flow)
+        self._attempts.record_answered(flow, now)
 
-    def _note_passed(self, envelope: Envelope, now: float) -> None:
+    def _record_passed(self, envelope: Envelope, now: float) -> None:
         flow = self._codec.read(envelope.packet).inbound
-        self._tries.note_passed(flow, envelope.best, now)
+        self._attempts.record_passed(flow, envelope.best, now)
 
-    def _note_not_carried(self, envelope: Envelope, now: float) -> None:
+    def _record_not_carried(self, envelope: Envelope, now: float) -> None:
         self.counters.not_carried += 1
         head = self._codec.read(envelope.packet)
         self.hints.pop(head.inbound)
-        self.dead_flows.note(head, envelope.pool, envelope.visited, now)
+        self.dead_flows.record_not_found(
+            head, envelope.pool, envelope.visited, now
+        )
--- a/redwingstream/packets/effects.py
+++ b/redwingstream/packets/effects.py
@@ -1,4 +1,4 @@
-"""What the packet path wants sent."""
+"""Datagrams that packet decisions return; the process sends them."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 
 @attrs.define
 class ToPeer:
-    """A datagram for a process of the system."""
+    """A datagram to another balancer or agent."""
 
     payload: bytes
     target: Address
@@ -16,7 +16,7 @@
 
 @attrs.define
 class ToCaller:
-    """A packet for a caller."""
+    """A packet to a caller."""
 
     payload: bytes
     caller: Address
@@ -24,7 +24,7 @@
 
 @attrs.define
 class ToServer:
-    """A packet for the server beside this agent."""
+    """A packet to the server beside this agent."""
 
     payload: bytes
 
@@ -33,5 +33,5 @@
 
 
 def peer_datagram(envelope: Envelope, target: Address) -> ToPeer:
-    """Return the datagram that carries an envelope."""
+    """Return the datagram that contains an envelope."""
     return ToPeer(pack_envelope(envelope), target)
--- a/redwingstream/packets/envelopes.py
+++ b/redwingstream/packets/envelopes.py
@@ -1,7 +1,7 @@
-"""What balancers and agents send each other around a packet.
+"""Encoding of the messages that balancers and agents exchange about packets.
 
-A fixed head of struct fields and the packet as it came.  The packet path reads
-and writes one of these for each packet, and a msgpack message of these fields
+An envelope is a header of fixed struct fields and the unchanged packet.  One is
+encoded and decoded for each packet, and a msgpack message of the same fields
 takes three times as long.
 
 Layout, big-endian: magic (1 byte), kind (1), hops (1), offer (1), pool (4),
@@ -27,21 +27,21 @@
 """Maximum hop count; the field is one byte."""
 
 OFFER_UNIT = 0.005
-"""Seconds in which an envelope names an expected wait."""
+"""Unit in seconds of the expected wait in an envelope."""
 
 NO_OFFER = 255
-"""Stands for no wait at all that an agent would offer."""
+"""Value of ``offer`` that means that no agent would let the flow wait."""
 
 
 class Kind(enum.IntEnum):
-    """What an envelope is about.
-
-    ``OPENING`` and ``ONGOING`` carry a caller's packet.  ``CARRIED`` says that
-    the agent ``best`` carries the packet's flow, ``PASSED`` that the opening
-    packet was passed on to it, ``NOT_CARRIED`` that none of the visited agents
-    carries the flow.  ``LOOKUP`` carries a packet like ``ONGOING``, but its
-    receiver does not pass it on: it answers ``home`` with ``NOT_CARRIED`` when
-    it does not carry the flow.  ``PING`` asks for a ``PONG``.
+    """Kind of an envelope.
+
+    ``OPENING`` and ``ONGOING`` contain a caller's packet.  ``CARRIED`` says
+    that the agent ``best`` carries the packet's flow, ``PASSED`` that the
+    opening packet was passed on to it, ``NOT_CARRIED`` that none of the visited
+    agents carries the flow.  ``LOOKUP`` contains a packet like ``ONGOING``, but
+    its receiver does not pass it on: it answers ``home`` with ``NOT_CARRIED``
+    if it does not carry the flow.  ``PING`` is answered by ``PONG``.
     """
 
     OPENING = 1
@@ -59,7 +59,7 @@
 _HEAD = struct.Struct('>BBBBIQ6s6s6sH')
 _ADDRESS_SIZE = 6
 
-# Places of the fields in the head, after the magic number.
+# Indexes of the fields in the header, after the magic number.
 _KIND = 1
 _HOPS = 2
 _OFFER = 3
@@ -71,36 +71,37 @@
 _COUNT = 9
 
 
-# Not frozen, which takes half the time: one is made for each packet.
+# Not frozen, which halves the time to create one: each packet needs one.
 @attrs.define
 class Envelope:
-    """A packet on its way between processes of the system, or a word on one.
+    """A packet between balancers and agents, or a message about its flow.
 
     Parameters
     ----------
     kind : Kind
-        What it is about.
+        Kind of the envelope.
     packet : bytes
-        The packet, or its header where only the flow matters.
+        The packet, or only its header in a message about its flow.
     origin : Address
-        The balancer that took the packet from the fabric.
+        Balancer that received the packet from the fabric.
     home : Address
-        The agent that the balancer chose, which remembers where flows are
-        that it handed to others.
+        Agent that the balancer selected, which remembers the carriers of flows
+        that it passed on.  In a lookup, the agent that receives the answers.
     pool : int
-        Hash of the pool's name; an agent of another pool refuses.
+        Hash of the pool's name; an agent of another pool refuses the flow.
     revision : int
-        Revision of the tables by which the pool was chosen.
+        Revision of the tables by which the pool was selected.
     hops : int
-        Agents that passed the packet on before.
+        Number of agents that have passed the packet on.
     offer : int
-        Expected wait of an opening packet at ``best``, see ``OFFER_UNIT``.
+        Expected wait of an opening packet at ``best``, in ``OFFER_UNIT``.
     best : Address
-        Agent with the shortest wait so far; none when no agent would let the
-        packet wait.
+        Agent with the shortest expected wait so far, or ``NO_ADDRESS`` if no
+        agent would let the flow wait.  In ``CARRIED`` and ``PASSED``, the agent
+        that carries the flow or received it.
     visited : tuple of Address
-        Agents that have looked at the packet, and those that the balancer
-        takes for lost.
+        Agents that have already handled the packet, and agents that the
+        balancer doubts.
     """
 
     kind: Kind
@@ -137,15 +138,15 @@
 
 
 def unpack_envelope(datagram: bytes) -> Envelope:
-    """Read an envelope.
+    """Decode an envelope.
 
     Raises
     ------
     WireError
-        When the datagram is none.
+        If the datagram is not a valid envelope.
     """
     if len(datagram) < _HEAD.size or datagram[0] != MAGIC:
-        raise WireError(f'datagram of {len(datagram)} bytes is no envelope')
+        raise WireError(f'datagram of {len(datagram)} bytes is not an envelope')
     raw = _HEAD.unpack_from(datagram)
     kind, count = _KIND_BY_NUMBER.get(raw[_KIND]), raw[_COUNT]
     start = _HEAD.size + count * _ADDRESS_SIZE
--- a/redwingstream/packets/events.py
+++ b/redwingstream/packets/events.py
@@ -1,22 +1,22 @@
-"""What the packet path writes to the event log."""
+"""Log events of the packet decisions."""
 
 from redwingstream.eventlog.lines import event
 
 
 @event
 class FlowRefused:
-    """A new flow was refused at once; it has not run anywhere.
+    """A new flow was refused; no server has received it.
 
     Parameters
     ----------
     flow : str
-        ``caller>service``.
+        Addresses of the flow, as ``caller>service``.
     reason : str
-        Why.
+        Reason of the refusal.
     revision : int
-        Revision of the tables that this was decided by.
+        Revision of the tables in force.
     visited : int
-        Agents that were asked.
+        Number of agents that have decided on the flow.
     """
 
     flow: str
@@ -48,7 +48,7 @@
 
 @event
 class FlowOpened:
-    """The server beside this agent was given a new flow."""
+    """An agent gave a new flow to its server."""
 
     flow: str
     origin: str
@@ -71,7 +71,7 @@
 
 @event
 class FlowHeld:
-    """A new flow waits at this agent until its server takes it."""
+    """A new flow waits at an agent until its server can accept it."""
 
     flow: str
     reason: str
@@ -81,7 +81,7 @@
 
 @event
 class FlowLost:
-    """The server beside this agent lost a flow that it held."""
+    """The server beside an agent no longer holds a flow that it held."""
 
     flow: str
     age: float
@@ -89,7 +89,7 @@
 
 @event
 class FlowFound:
-    """A flow was found at this agent by a search."""
+    """A flow whose carrier was not known was found at this agent."""
 
     flow: str
     hops: int
@@ -107,7 +107,7 @@
 
 @event
 class FlowDeclaredDead:
-    """A balancer reset a flow: all agents were asked, and none carries it."""
+    """A balancer reset a flow; all agents were queried, and none carries it."""
 
     flow: str
     revision: int
@@ -121,7 +121,7 @@
     Parameters
     ----------
     flow : str
-        Flow of the request that it failed last.
+        Flow of the last request that failed.
     """
 
     flow: str
@@ -136,7 +136,7 @@
 
 @event
 class AgentDoubted:
-    """An agent did not answer for a new flow; others are preferred."""
+    """An agent did not answer a balancer; other agents are preferred."""
 
     agent: str
     silent_for: float
--- a/redwingstream/packets/flow.py
+++ b/redwingstream/packets/flow.py
@@ -1,4 +1,7 @@
-"""What a packet's header says, and the reader that an interface provides."""
+"""Addresses, flow identifiers, packet headers, and the packet codec interface.
+
+The platform provides the codec of its packet format.
+"""
 
 from typing import NewType, Protocol
 
@@ -8,7 +11,7 @@
 """An IPv4 address and a port in one number: ``host << 16 | port``."""
 
 FlowId = NewType('FlowId', int)
-"""Caller and service address of a flow in one number."""
+"""Address of the caller and address that it sends to, in one number."""
 
 NO_ADDRESS = Address(0)
 
@@ -22,7 +25,7 @@
 
 
 def address_of(host: str, port: int) -> Address:
-    """Return the number that stands for an IPv4 address and a port."""
+    """Return an IPv4 address and a port as one number."""
     number = 0
     for octet in host.split('.'):
         number = number << _OCTET_BITS | int(octet)
@@ -30,7 +33,7 @@
 
 
 def host_of(address: Address) -> str:
-    """Return the IPv4 address in its usual text form."""
+    """Return the IPv4 address in dotted decimal notation."""
     host = address >> _PORT_BITS
     return '.'.join(str(host >> shift & _OCTET_MASK) for shift in _OCTET_SHIFTS)
 
@@ -41,7 +44,7 @@
 
 
 def pair_of(address: Address) -> tuple[str, int]:
-    """Return the form that the socket calls take."""
+    """Return host and port as expected by socket calls."""
     return (host_of(address), port_of(address))
 
 
@@ -51,51 +54,53 @@
 
 
 def flow_of(caller: Address, service: Address) -> FlowId:
-    """Return the number that stands for a flow."""
+    """Return the identifier of a flow."""
     return FlowId(caller << _ADDRESS_BITS | service)
 
 
 def caller_of(flow: FlowId) -> Address:
-    """Return the caller's end of a flow."""
+    """Return the address of the caller."""
     return Address(flow >> _ADDRESS_BITS)
 
 
 def service_of(flow: FlowId) -> Address:
-    """Return the service's end of a flow."""
+    """Return the address that the caller sends to."""
     return Address(flow & _ADDRESS_MASK)
 
 
 def flow_text(flow: FlowId) -> str:
-    """Return the flow as logs and operators name it: ``caller>service``."""
+    """Return the flow in the form used in logs: ``caller>service``."""
     return f'{text_of(caller_of(flow))}>{text_of(service_of(flow))}'
 
 
-# Not frozen, since one is made for each packet; see Envelope.
+# Not frozen: one is created per packet, and frozen classes take twice as long
+# to create; see Envelope.
 @attrs.define
 class Head:
-    """The header of a packet, as far as forwarding depends on it.
+    """Header fields of a packet that forwarding depends on.
 
     Parameters
     ----------
     source, target : Address
-        Who sent the packet, and to whom.
+        Sender and receiver of the packet.
     sequence, acknowledged : int
-        The sender's position, and how far it has received.  In an opening
-        packet ``acknowledged`` counts the copies sent before this one.
+        Sequence number of the packet, and the last one received by its sender.
+        In an opening packet ``acknowledged`` is the number of packets that the
+        caller has sent for this flow before, 0 for the first one.
     ticket : int
-        A number that the server hands back with a packet it does not take.
+        Number that the server returns with a packet of a flow it does not hold.
     size : int
         Bytes of data.
     is_opening : bool
-        True for the first packet of a flow, from the caller.
+        True for the opening packet of a flow and its copies.
     is_accepting : bool
         True for the server's answer to an opening packet.
     is_end : bool
-        True when the sender sends no more.
+        True if the sender sends no more data.
     is_reset : bool
-        True when the sender has given the flow up.
+        True if the sender has aborted the flow.
     is_returned : bool
-        True when the server hands back a packet that it does not take.
+        True if the server returns a packet that it does not accept.
     """
 
     source: Address
@@ -112,12 +117,12 @@
 
     @property
     def inbound(self) -> FlowId:
-        """The flow, when the caller sent this packet."""
+        """Flow of a packet sent by the caller."""
         return FlowId(self.source << _ADDRESS_BITS | self.target)
 
     @property
     def outbound(self) -> FlowId:
-        """The flow, when the server sent this packet."""
+        """Flow of a packet sent by the server."""
         return FlowId(self.target << _ADDRESS_BITS | self.source)
 
 
@@ -126,18 +131,18 @@
 
     Notes
     -----
-    Only the two ends of a flow may change a packet's contents, so there is no
-    way to write a header field but the ticket.
+    Only caller and server may change the contents of a packet, so the ticket is
+    the only header field that can be written.
     """
 
     def read(self, packet: bytes) -> Head:
-        """Return the header; raise ``WireError`` when it is none."""
+        """Return the header; raise ``WireError`` if it is malformed."""
 
     def head_only(self, packet: bytes) -> bytes:
-        """Return a packet without its data; :meth:`read` takes it."""
+        """Return a packet without its data, still readable by :meth:`read`."""
 
     def with_ticket(self, packet: bytes, ticket: int) -> bytes:
-        """Return the packet with a ticket, and not marked as returned."""
+        """Return the packet with a ticket and without the returned mark."""
 
     def reset_for(self, head: Head) -> bytes:
-        """Return a reset that answers a caller's packet."""
+        """Return a reset in answer to a caller's packet."""
--- a/redwingstream/packets/lookups.py
+++ b/redwingstream/packets/lookups.py
@@ -101,14 +101,14 @@
         targets : iterable of Address
             Agents to query.
         now : float
-            The time in seconds.
+            Current time in seconds, by the event loop's clock.
         """
         request = attrs.evolve(envelope, kind=Kind.LOOKUP, visited=())
         lookup = Lookup(request, set(targets), list(envelope.visited), now)
         self._lookup_by_flow.put(flow, lookup, now)
         return lookup
 
-    def note_not_carried(
+    def record_not_carried(
         self, flow: FlowId, agent: Address, now: float
     ) -> Lookup | None:
         """Record that an agent does not carry a flow.
@@ -123,9 +123,9 @@
             return None
         lookup.pending.remove(agent)
         lookup.visited.append(agent)
-        return None if lookup.pending else self.end(flow)
+        return None if lookup.pending else self.pop(flow)
 
-    def end(self, flow: FlowId) -> Lookup | None:
+    def pop(self, flow: FlowId) -> Lookup | None:
         """Remove and return the lookup of a flow."""
         return self._lookup_by_flow.pop(flow)
 
--- /dev/null
+++ b/redwingstream/packets/new_flows.py
@@ -0,0 +1,314 @@
+"""An agent's decisions about packets that open a flow.
+
+An agent gives a new flow to its server, lets it wait, passes it on to another
+agent of the pool, or refuses it.
+"""
+
+import attrs
+
+from redwingstream.directory.messages import Readiness
+from redwingstream.directory.view import Agent
+from redwingstream.openings.gate import Verdict
+from redwingstream.packets import events
+from redwingstream.packets.agent_context import AgentContext
+from redwingstream.packets.agent_flows import CarriedFlow, FlowState
+from redwingstream.packets.effects import Outgoing, ToServer, peer_datagram
+from redwingstream.packets.envelopes import (
+    NO_OFFER,
+    OFFER_UNIT,
+    Envelope,
+    Kind,
+)
+from redwingstream.packets.flow import (
+    NO_ADDRESS,
+    Address,
+    FlowId,
+    Head,
+    flow_text,
+    text_of,
+)
+from redwingstream.packets.ranking import pool_hash, rank_agents
+from redwingstream.packets.waiting_flows import WaitingFlow
+
+MAX_AGENTS_TRIED = 4
+"""Maximum number of agents that decide on a new flow.  With random loads the
+least loaded of four is within a tenth of the best of all, and each additional
+agent delays the caller by up to a millisecond."""
+
+MAX_ZONE_WAIT = 0.04
+"""Expected wait in seconds up to which a new flow stays in its availability
+zone.  In another zone each byte of the flow is transferred between zones."""
+
+
+class NewFlowHandler:
+    """Accepts new flows, passes them on to other agents, or refuses them.
+
+    Parameters
+    ----------
+    context : AgentContext
+        State shared by the agent's packet decisions.
+    """
+
+    def __init__(self, context: AgentContext) -> None:
+        self._context = context
+        self._pool_hash = pool_hash(context.location.pool)
+
+    def handle_opening(self, envelope: Envelope, now: float) -> list[Outgoing]:
+        """Handle an opening packet from a balancer or another agent."""
+        context = self._context
+        head = context.codec.read(envelope.packet)
+        flow = head.inbound
+        if flow in context.waiting:
+            return []
+        if envelope.pool != self._pool_hash:
+            context.counters.foreign += 1
+            return context.refusals.refuse(
+                head, 'another pool', envelope.hops + 1
+            )
+        carried = context.flows.find_carried(flow, now)
+        if carried is not None and self._is_copy(head, carried):
+            return self._handle_copy(envelope, carried)
+        known = context.flows.find_carrier(flow, now)
+        if known is not None and self._may_visit(known, head, envelope):
+            return [peer_datagram(self._with_visit(envelope), known)]
+        if carried is not None:
+            context.flows.remove(carried)
+        return self._handle_new(envelope, head, now)
+
+    def process_waiting(self, now: float) -> list[Outgoing]:
+        """Open, refuse or pass on flows whose wait has ended."""
+        context = self._context
+        outgoing: list[Outgoing] = []
+        held = context.waiting.first()
+        while held is not None:
+            verdict = context.gate.verdict_for(context.load(), now)
+            ended = self._end_wait(held, verdict, now)
+            if ended is None:
+                break
+            outgoing.extend(ended)
+            held = context.waiting.first()
+        return outgoing
+
+    def handle_returned(
+        self, head: Head, carried: CarriedFlow | None, now: float
+    ) -> list[Outgoing]:
+        """Handle an opening packet that the server has returned."""
+        context = self._context
+        if carried is None:
+            return context.refusals.drop(head, 'handed back twice')
+        if carried.state is FlowState.ESTABLISHED:
+            return context.refusals.drop(head, 'a late copy')
+        context.flows.remove(carried)
+        context.gate.record_full(now)
+        return self.pass_on(carried.envelope, head, Verdict.FULL, now)
+
+    def pass_on(
+        self, envelope: Envelope, head: Head, verdict: Verdict, now: float
+    ) -> list[Outgoing]:
+        """Pass a new flow on to another agent, or decide on it here.
+
+        The envelope keeps the agent with the shortest expected wait so far.
+        That agent holds the flow when no other agent is left to try.
+        """
+        context = self._context
+        own = context.location.address
+        passed = attrs.evolve(
+            self._with_visit(envelope), hops=envelope.hops + 1
+        )
+        offer = context.offered_wait(head, now)
+        if offer < envelope.offer:
+            passed = attrs.evolve(passed, best=own, offer=offer)
+        target = self._next_target(head.inbound, passed)
+        if target == own:
+            return self._open_or_hold(envelope, head, verdict, now)
+        if target == NO_ADDRESS or envelope.hops > MAX_AGENTS_TRIED:
+            return context.refusals.refuse(
+                head, verdict.value, envelope.hops + 1
+            )
+        context.counters.passed_on += 1
+        context.flows.record_carrier(head.inbound, target, now)
+        context.log(
+            events.FlowPassedOn(
+                flow_text(head.inbound),
+                verdict.value,
+                text_of(target),
+                envelope.hops,
+                context.flows.waiting,
+            ),
+        )
+        return [
+            peer_datagram(passed, target),
+            *self._notify_balancer(envelope, target),
+        ]
+
+    def _notify_balancer(
+        self, envelope: Envelope, target: Address
+    ) -> list[Outgoing]:
+        """Notify the balancer of the agent that a new flow was passed on to.
+
+        If the target does not answer, the balancer doubts the target and not
+        this agent, and sends the caller's next copy to neither of them.
+        """
+        notice = attrs.evolve(
+            envelope,
+            kind=Kind.PASSED,
+            packet=self._context.codec.head_only(envelope.packet),
+            best=target,
+            visited=(),
+        )
+        return [peer_datagram(notice, envelope.origin)]
+
+    def _handle_copy(
+        self, envelope: Envelope, carried: CarriedFlow
+    ) -> list[Outgoing]:
+        """Handle a copy of the packet that opened a flow of this server.
+
+        A balancer that was suspended forwards old packets seconds later.  If
+        such a packet were handled as a new flow, this agent would remove the
+        open flow, and its packets would no longer reach the server.
+        """
+        is_late = carried.state is FlowState.ESTABLISHED
+        if is_late and carried.envelope.packet:
+            return list(self._context.notify_carried(envelope))
+        return [ToServer(envelope.packet)]
+
+    def _is_copy(self, head: Head, carried: CarriedFlow) -> bool:
+        opening = carried.envelope.packet
+        if not opening:
+            # Opened before this agent started: only the server knows.
+            return True
+        # A caller that reuses its port starts at another sequence number.
+        return self._context.codec.read(opening).sequence == head.sequence
+
+    def _may_visit(
+        self, known: Address, head: Head, envelope: Envelope
+    ) -> bool:
+        """Whether a packet may be sent to the known carrier of its flow.
+
+        A copy may always be.  A first packet may be a delayed one, or may open
+        another flow from the same port; it goes to the carrier only if that
+        agent is not silent.
+        """
+        if known in envelope.visited:
+            return False
+        if head.acknowledged:
+            return True
+        agent = self._context.view.agent_by_address.get(known)
+        return agent is not None and not agent.is_silent
+
+    def _with_visit(self, envelope: Envelope) -> Envelope:
+        own = self._context.location.address
+        return attrs.evolve(envelope, visited=(*envelope.visited, own))
+
+    def _handle_new(
+        self, envelope: Envelope, head: Head, now: float
+    ) -> list[Outgoing]:
+        context = self._context
+        verdict = context.gate.verdict_for(context.load(), now)
+        if verdict is Verdict.TAKE and not context.waiting:
+            return self._open(envelope, head.inbound, now)
+        if envelope.best == context.location.address:
+            return self._open_or_hold(envelope, head, verdict, now)
+        return self.pass_on(envelope, head, verdict, now)
+
+    def _open_or_hold(
+        self, envelope: Envelope, head: Head, verdict: Verdict, now: float
+    ) -> list[Outgoing]:
+        """Open a flow that no other agent would open sooner, or let it wait."""
+        context = self._context
+        load = context.load()
+        is_best = verdict is Verdict.FAILING
+        if is_best or (
+            verdict is Verdict.BUSY and context.gate.may_queue(load)
+        ):
+            return self._open(envelope, head.inbound, now)
+        if not verdict.may_wait or context.waiting.is_full:
+            return context.refusals.refuse(
+                head, verdict.value, envelope.hops + 1
+            )
+        context.waiting.add(head.inbound, WaitingFlow(envelope, head, now))
+        context.counters.held += 1
+        expected = round(context.gate.expected_wait(load, now), 3)
+        context.log(
+            events.FlowHeld(
+                flow_text(head.inbound),
+                verdict.value,
+                expected,
+                len(context.waiting),
+            ),
+        )
+        # The balancer is notified, so that it sends copies here and does not
+        # doubt this agent.
+        return list(context.notify_carried(envelope))
+
+    def _end_wait(
+        self, held: WaitingFlow, verdict: Verdict, now: float
+    ) -> list[Outgoing] | None:
+        """Return what to send when a flow stops waiting, or None before."""
+        context = self._context
+        is_taken = verdict in {Verdict.TAKE, Verdict.FAILING} or (
+            verdict is Verdict.BUSY and context.gate.may_queue(context.load())
+        )
+        if is_taken:
+            context.waiting.pop()
+            return self._open(held.envelope, held.head.inbound, now)
+        if now - held.received_at > context.max_wait(held.head, now):
+            context.waiting.pop()
+            return context.refusals.refuse(
+                held.head, verdict.value, held.envelope.hops + 1
+            )
+        if verdict.may_wait:
+            return None
+        context.waiting.pop()
+        again = attrs.evolve(
+            held.envelope, hops=0, visited=(), best=NO_ADDRESS, offer=NO_OFFER
+        )
+        return self.pass_on(again, held.head, verdict, now)
+
+    def _open(
+        self, envelope: Envelope, flow: FlowId, now: float
+    ) -> list[Outgoing]:
+        context = self._context
+        carried = CarriedFlow(flow, envelope, FlowState.OFFERED, now)
+        context.flows.add(carried, now)
+        context.flows.start_waiting(carried, now)
+        context.gate.record_opened(now)
+        context.counters.opened += 1
+        context.log(
+            events.FlowOpened(
+                flow_text(flow),
+                text_of(envelope.origin),
+                envelope.hops,
+                context.flows.waiting,
+                context.flows.count,
+                context.gate.is_cold(now),
+            ),
+        )
+        return [ToServer(envelope.packet)]
+
+    def _next_target(self, flow: FlowId, passed: Envelope) -> Address:
+        """Return the next agent to try, or the best one if none is left."""
+        following = self._next_agent(flow, passed)
+        if following is None:
+            return passed.best
+        is_elsewhere = following.zone != self._context.location.zone
+        if is_elsewhere and passed.offer * OFFER_UNIT <= MAX_ZONE_WAIT:
+            return passed.best
+        return following.address
+
+    def _next_agent(self, flow: FlowId, passed: Envelope) -> Agent | None:
+        if passed.hops >= MAX_AGENTS_TRIED:
+            return None
+        # Agents of a zone that is out cannot open the flow and would use up one
+        # of the few attempts.
+        zones_out = self._context.gate.rules.zones_out
+        usable = [
+            agent
+            for agent in self._context.peers()
+            if agent.address not in passed.visited
+            and agent.readiness is Readiness.READY
+            and not agent.is_silent
+            and agent.zone not in zones_out
+        ]
+        order = rank_agents(flow, usable, self._context.location.zone)
+        return order[0] if order else None
--- /dev/null
+++ b/redwingstream/packets/open_flows.py
@@ -0,0 +1,310 @@
+"""An agent's decisions about packets of open flows.
+
+The server itself knows its open flows: it returns packets of flows that it does
+not hold.  An agent that has restarted therefore finds its flows again by
+delivering packets to its server.  A flow whose carrier is unknown to balancer
+and home is found by querying all agents of the pool, see
+:mod:`redwingstream.packets.lookups`.
+"""
+
+import attrs
+
+from redwingstream.packets import events
+from redwingstream.packets.agent_context import AgentContext
+from redwingstream.packets.agent_flows import CarriedFlow, FlowState
+from redwingstream.packets.bounded_table import BoundedTable
+from redwingstream.packets.effects import (
+    Outgoing,
+    ToCaller,
+    ToServer,
+    peer_datagram,
+)
+from redwingstream.packets.envelopes import (
+    MAX_HOPS,
+    MAX_VISITED,
+    Envelope,
+    Kind,
+)
+from redwingstream.packets.flow import (
+    Address,
+    FlowId,
+    Head,
+    flow_text,
+    text_of,
+)
+from redwingstream.packets.lookups import MAX_WAITING, Lookup, Lookups
+from redwingstream.packets.ranking import pool_hash
+
+MAX_TICKETS = 4096
+"""Maximum number of packets delivered to the server that it may return."""
+
+TICKET_SECONDS = 1
+"""Seconds for which a returned packet is expected; the server returns it within
+a millisecond."""
+
+MAX_NOT_HELD = 8192
+"""Maximum number of flows remembered as not held by the server, each for the
+maximum life of a flow.  A flow that the server opens later is found in the
+table of its own flows first."""
+
+MAX_FLOW_BYTES = 67108864
+"""Maximum number of bytes that a caller sends on one flow.  A packet whose
+sequence number is farther from that of the opening packet belongs to another
+flow from the same port."""
+
+SEQUENCE_MASK = 0xFFFFFFFF
+
+_TICKET_MASK = 0xFFFFFFFF
+
+
+class OpenFlowHandler:
+    """Delivers packets of open flows, and looks up carriers of other flows.
+
+    Parameters
+    ----------
+    context : AgentContext
+        State shared by the agent's packet decisions.
+    started_at : float
+        Time in seconds at which the agent started; it has seen all packets of
+        its server since then.
+    """
+
+    def __init__(self, context: AgentContext, started_at: float) -> None:
+        self._context = context
+        self._started_at = started_at
+        self._envelope_by_ticket: BoundedTable[int, Envelope] = BoundedTable(
+            MAX_TICKETS, TICKET_SECONDS
+        )
+        self._unconfirmed: BoundedTable[FlowId, Envelope] = BoundedTable(
+            MAX_TICKETS, TICKET_SECONDS
+        )
+        self._not_held: BoundedTable[FlowId, bool] = BoundedTable(
+            MAX_NOT_HELD, context.flows.flow_life
+        )
+        self._ticket = 0
+        self._lookups = Lookups()
+
+    def handle_packet(self, envelope: Envelope, now: float) -> list[Outgoing]:
+        """Handle a packet from a balancer or another agent."""
+        context = self._context
+        head = context.codec.read(envelope.packet)
+        carried = context.flows.find_carried(head.inbound, now)
+        if carried is not None:
+            return self._deliver(envelope, carried, head, now)
+        known = context.flows.find_carrier(head.inbound, now)
+        if known is not None and _may_pass_to(known, envelope):
+            return [peer_datagram(self._with_visit(envelope), known)]
+        if self._is_known_absent(head, now):
+            # Packets of a flow that the server cannot hold are not delivered to
+            # it: it would have to return each of them.
+            return self._search(envelope, head, now)
+        self._unconfirmed.put(head.inbound, envelope, now)
+        return [ToServer(self._with_ticket(envelope, now))]
+
+    def handle_returned(
+        self, head: Head, carried: CarriedFlow | None, now: float
+    ) -> list[Outgoing]:
+        """Handle a packet of an open flow that the server has returned."""
+        context = self._context
+        searched = (
+            self._envelope_by_ticket.pop(head.ticket) if head.ticket else None
+        )
+        self._unconfirmed.pop(head.inbound)
+        is_lookup = searched is not None and searched.kind is Kind.LOOKUP
+        is_held = carried is not None and not is_lookup
+        if is_held and carried.state is FlowState.ESTABLISHED:
+            return self._handle_lost_flow(carried, head, now)
+        if carried is not None:
+            # The caller has acknowledged another server's answer.
+            context.flows.remove(carried)
+        self._not_held.put(head.inbound, row=True, now=now)
+        if searched is None:
+            return context.refusals.drop(head, 'handed back without a search')
+        return self._search(searched, head, now)
+
+    def handle_server_answer(self, flow: FlowId) -> list[Outgoing]:
+        """Announce a flow if the server has answered a test packet."""
+        envelope = self._unconfirmed.pop(flow)
+        return [] if envelope is None else self._report_found(flow, envelope)
+
+    def handle_not_carried(
+        self, envelope: Envelope, agent: Address, now: float
+    ) -> list[Outgoing]:
+        """Handle an agent's answer that it does not carry a flow."""
+        head = self._context.codec.read(envelope.packet)
+        lookup = self._lookups.record_not_carried(head.inbound, agent, now)
+        return [] if lookup is None else self._report_not_found(lookup, head)
+
+    def handle_carried(self, flow: FlowId, agent: Address) -> list[Outgoing]:
+        """End the lookup of a flow and send its queued packets to its agent."""
+        lookup = self._lookups.pop(flow)
+        if lookup is None:
+            return []
+        return [
+            peer_datagram(self._with_visit(waiting), agent)
+            for waiting in lookup.waiting
+        ]
+
+    def tick(self, now: float) -> list[Outgoing]:
+        """Evict expired entries; retry or end overdue lookups."""
+        self._envelope_by_ticket.evict_expired(now)
+        self._unconfirmed.evict_expired(now)
+        self._not_held.evict_expired(now)
+        outgoing: list[Outgoing] = []
+        for flow, lookup in self._lookups.overdue(now):
+            if lookup.is_repeated:
+                self._lookups.pop(flow)
+                head = self._context.codec.read(lookup.envelope.packet)
+                outgoing.extend(self._report_not_found(lookup, head))
+            else:
+                lookup.is_repeated = True
+                lookup.asked_at = now
+                outgoing.extend(lookup.requests())
+        return outgoing
+
+    def _is_known_absent(self, head: Head, now: float) -> bool:
+        context = self._context
+        # The server sends on each flow that it holds within the idle time-out,
+        # so that from then on the agent knows all of them.
+        knows_all_from = self._started_at + context.flows.idle_timeout
+        if context.gate.state.is_observed_from_start or now >= knows_all_from:
+            return True
+        return self._not_held.get(head.inbound, now) is not None
+
+    def _deliver(
+        self, envelope: Envelope, carried: CarriedFlow, head: Head, now: float
+    ) -> list[Outgoing]:
+        context = self._context
+        opening = carried.envelope.packet
+        is_lookup = envelope.kind is Kind.LOOKUP
+        if is_lookup and opening and _is_other_flow(context, opening, head):
+            return self._search(envelope, head, now)
+        if head.size:
+            context.flows.record_request(carried, now)
+        if is_lookup and not opening:
+            # The entry may belong to an earlier flow from the same port, while
+            # another server holds this one: the server's answer decides.
+            self._unconfirmed.put(head.inbound, envelope, now)
+            return [ToServer(self._with_ticket(envelope, now))]
+        packet = envelope.packet
+        if carried.state is not FlowState.ESTABLISHED:
+            packet = self._with_ticket(envelope, now)
+        outgoing: list[Outgoing] = [ToServer(packet)]
+        if envelope.hops:
+            outgoing.extend(self._report_found(head.inbound, envelope))
+        return outgoing
+
+    def _report_found(self, flow: FlowId, envelope: Envelope) -> list[Outgoing]:
+        context = self._context
+        context.counters.found += 1
+        context.log(
+            events.FlowFound(
+                flow_text(flow), envelope.hops, text_of(envelope.home)
+            ),
+        )
+        return list(context.notify_carried(envelope))
+
+    def _handle_lost_flow(
+        self, carried: CarriedFlow, head: Head, now: float
+    ) -> list[Outgoing]:
+        context = self._context
+        if carried.is_ending:
+            return context.refusals.drop(head, 'the flow has ended')
+        # The server no longer holds this flow, so it was restarted or has
+        # closed the flow.  The caller receives a reset immediately.
+        context.flows.remove(carried)
+        context.gate.assume_cold(now)
+        context.counters.lost += 1
+        age = round(now - carried.opened_at, 3)
+        context.log(events.FlowLost(flow_text(carried.flow), age))
+        return [ToCaller(context.codec.reset_for(head), head.source)]
+
+    def _search(
+        self, envelope: Envelope, head: Head, now: float
+    ) -> list[Outgoing]:
+        context = self._context
+        if envelope.kind is Kind.LOOKUP:
+            return [
+                peer_datagram(
+                    _not_carried_reply(context, envelope), envelope.home
+                )
+            ]
+        lookup = self._lookups.find(head.inbound, now)
+        if lookup is not None:
+            return self._queue_packet(lookup, envelope, head)
+        request = attrs.evolve(
+            self._with_visit(envelope), home=context.location.address
+        )
+        others = [
+            agent.address
+            for agent in context.peers()
+            if agent.address not in request.visited and not agent.is_silent
+        ]
+        if len(others) + len(request.visited) > MAX_VISITED:
+            return context.refusals.drop(
+                head, 'the pool is too large to search'
+            )
+        lookup = self._lookups.start(head.inbound, request, others, now)
+        if others:
+            return list(lookup.requests())
+        self._lookups.pop(head.inbound)
+        return self._report_not_found(lookup, head)
+
+    def _queue_packet(
+        self, lookup: Lookup, envelope: Envelope, head: Head
+    ) -> list[Outgoing]:
+        if len(lookup.waiting) >= MAX_WAITING:
+            return self._context.refusals.drop(
+                head, 'too many wait for a lookup'
+            )
+        lookup.waiting.append(envelope)
+        return []
+
+    def _report_not_found(self, lookup: Lookup, head: Head) -> list[Outgoing]:
+        context = self._context
+        context.counters.not_found += 1
+        context.log(
+            events.FlowNotFound(
+                flow_text(head.inbound),
+                len(lookup.visited),
+                len(lookup.pending),
+            ),
+        )
+        notice = attrs.evolve(
+            _not_carried_reply(context, lookup.envelope),
+            visited=tuple(lookup.visited),
+        )
+        return [peer_datagram(notice, lookup.envelope.origin)]
+
+    def _with_visit(self, envelope: Envelope) -> Envelope:
+        return attrs.evolve(
+            envelope,
+            hops=min(envelope.hops + 1, MAX_HOPS),
+            visited=(*envelope.visited, self._context.location.address),
+        )
+
+    def _with_ticket(self, envelope: Envelope, now: float) -> bytes:
+        self._ticket = (self._ticket + 1) & _TICKET_MASK or 1
+        self._envelope_by_ticket.put(self._ticket, envelope, now)
+        return self._context.codec.with_ticket(envelope.packet, self._ticket)
+
+
+def _is_other_flow(context: AgentContext, opening: bytes, head: Head) -> bool:
+    """Whether a packet belongs to another flow than the opening packet."""
+    begun = context.codec.read(opening).sequence
+    return (head.sequence - begun) & SEQUENCE_MASK > MAX_FLOW_BYTES
+
+
+def _may_pass_to(known: Address, envelope: Envelope) -> bool:
+    return envelope.kind is Kind.ONGOING and known not in envelope.visited
+
+
+def _not_carried_reply(context: AgentContext, envelope: Envelope) -> Envelope:
+    """Return this agent's answer that it does not carry the flow."""
+    return attrs.evolve(
+        envelope,
+        kind=Kind.NOT_CARRIED,
+        packet=context.codec.head_only(envelope.packet),
+        pool=pool_hash(context.location.pool),
+        visited=(context.location.address,),
+    )
--- a/redwingstream/packets/ranking.py
+++ b/redwingstream/packets/ranking.py
@@ -1,10 +1,11 @@
-"""In which order the agents of a pool are asked about a flow.
-
-Weighted rendezvous hashing, as for the buckets of
-:mod:`redwingstream.placement.rendezvous`, but by flow: an agent that comes
-takes only the flows that it wins, one that goes gives up only its own.  Agents
-of the caller's availability zone come first, since bytes between zones cost
-time and money.
+"""Order in which the agents of a pool are tried for a flow.
+
+Rendezvous hashing, as for the buckets of
+:mod:`redwingstream.placement.rendezvous`, but by flow and without weights: an
+agent that joins becomes first only for the flows on which it ranks highest, and
+an agent that leaves affects only the flows on which it was first.  Agents of a
+preferred availability zone come first, since traffic between zones costs time
+and money.
 """
 
 from collections.abc import Iterable
@@ -19,21 +20,23 @@
 
 
 def pool_hash(pool: str) -> int:
-    """Return the number that stands for a pool in an envelope."""
+    """Return the hash that identifies a pool in an envelope."""
     return xxhash.xxh3_64_intdigest(pool.encode()) & _POOL_SEED_BITS
 
 
-def ranked(flow: FlowId, agents: Iterable[Agent], zone: str) -> list[Agent]:
-    """Return agents in the order in which they are asked about a flow.
+def rank_agents(
+    flow: FlowId, agents: Iterable[Agent], zone: str
+) -> list[Agent]:
+    """Return agents in the order in which they are tried for a flow.
 
     Parameters
     ----------
     flow : FlowId
         The flow.
     agents : iterable of Agent
-        Those of its pool.
+        Agents of its pool.
     zone : str
-        Zone that comes first.
+        Availability zone whose agents come first.
     """
     packed = flow.to_bytes(_FLOW_BYTES)
     digest = xxhash.xxh3_64_intdigest
@@ -47,5 +50,5 @@
 
 
 def share_point(flow: FlowId, total: int) -> int:
-    """Return a number below a total that is always the same for a flow."""
+    """Return a number below ``total`` that depends only on the flow."""
     return xxhash.xxh3_64_intdigest(flow.to_bytes(_FLOW_BYTES)) % total
--- a/redwingstream/packets/refusing.py
+++ b/redwingstream/packets/refusals.py
@@ -1,4 +1,4 @@
-"""How a packet ends that cannot be forwarded."""
+"""Refusing new flows and dropping packets that cannot be forwarded."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,21 +12,26 @@
 
 @attrs.define
 class RefusalCounters:
-    """What was refused or dropped since the start."""
+    """Counts of refused flows and dropped packets since the process started."""
 
     refused: int = 0
     dropped: int = 0
 
 
-class Refusing:
-    """Refuses new flows at once, and drops what may not be refused.
+class Refusals:
+    """Refuses new flows with a reset, and drops packets without an answer.
 
     Parameters
     ----------
     codec : PacketCodec
-        Writes resets.
+        Creates resets.
     log : callable
-        Takes events.
+        Writes a log event.
+
+    Attributes
+    ----------
+    revision : int
+        Revision of the tables in force, for the log.
     """
 
     def __init__(self, codec: PacketCodec, log: Callable[[Any], None]) -> None:
@@ -36,13 +41,22 @@
         self._log = log
 
     def refuse(self, head: Head, reason: str, visited: int) -> list[Outgoing]:
-        """Refuse a new flow that no server has been given.
+        """Refuse a new flow that no server has received.
+
+        Parameters
+        ----------
+        head : Head
+            Header of the opening packet.
+        reason : str
+            Reason for the log.
+        visited : int
+            Number of agents that have decided on the flow.
 
         Notes
         -----
-        Only the first packet of a flow is answered with a reset.  A copy may
-        meet a flow that another agent has just been given: the reset would
-        reach the caller after the flow has opened, and break it.
+        Only the first packet of a flow is answered with a reset.  When a copy
+        arrives, another agent may just have opened the flow: the reset would
+        reach the caller after that and break an open flow.
         """
         if head.acknowledged:
             return self.drop(head, reason)
@@ -52,7 +66,7 @@
         return [ToCaller(self._codec.reset_for(head), head.source)]
 
     def drop(self, head: Head, reason: str) -> list[Outgoing]:
-        """Drop a packet, and say so in the log."""
+        """Drop a packet and log the reason."""
         self.counters.dropped += 1
         flow = flow_text(head.inbound)
         self._log(FlowDropped(flow, reason, self.revision))
--- a/redwingstream/packets/routebook.py
+++ b/redwingstream/packets/route_table.py
@@ -1,29 +1,29 @@
-"""The routes that a balancer goes by, and how surely it knows them."""
+"""The routes that a balancer applies, and when they were last confirmed."""
 
 from redwingstream.directory.view import AgentView
 from redwingstream.packets.flow import Address
 from redwingstream.tables.rows import Route
 
-CONFIRMED_WITHIN = 1.5
-"""Seconds within which the tables must have been known to be the newest, for a
-route that is not in them to be taken for missing.  Balancers ask each control
-instance several times within this time."""
+MAX_CONFIRMED_AGE = 1.5
+"""Maximum age in seconds of the last confirmation that the tables are the
+newest ones, for a route that is not in them to count as missing.  Balancers
+poll each control instance several times within this time."""
 
 
-class RouteBook:
+class RouteTable:
     """Routes by the address that callers send to.
 
     Parameters
     ----------
     view : AgentView
-        The agents of all pools.
+        Agents of all pools.
 
     Attributes
     ----------
     route_by_service : dict
-        The routes in force.
+        The routes in force, by the address that callers send to.
     confirmed_at : float
-        When they were last known to be the newest.
+        Time in seconds at which they were last confirmed to be the newest ones.
     """
 
     def __init__(self, view: AgentView) -> None:
@@ -32,19 +32,19 @@
         self._view = view
 
     def find(self, service: Address) -> Route | None:
-        """Return the route of a service; None when there is none."""
+        """Return the route of an address that callers send to, or None."""
         return self.route_by_service.get(service)
 
     def is_confirmed(self, now: float) -> bool:
-        """Whether the routes are surely the newest ones."""
-        return now - self.confirmed_at <= CONFIRMED_WITHIN
+        """Whether the routes were confirmed recently to be the newest ones."""
+        return now - self.confirmed_at <= MAX_CONFIRMED_AGE
 
-    def may_come(self, service: Address, now: float) -> bool:
-        """Whether a service cannot be reached yet, but perhaps soon.
+    def may_become_reachable(self, service: Address, now: float) -> bool:
+        """Whether packets cannot be forwarded yet, but perhaps soon.
 
-        That is so while its route may be missing only here, and while no
-        agent of its pools is known and control instances have not heard them
-        all.
+        This holds while there is no route but the tables are not confirmed, and
+        while no agent of the route's pools is known and the control instances
+        have not received the records of all agents.
         """
         route = self.route_by_service.get(service)
         if route is None:
--- a/redwingstream/packets/tests/codec.py
+++ b/redwingstream/packets/tests/codec.py
@@ -1,4 +1,4 @@
-"""A packet format for tests, as simple as can be."""
+"""A minimal packet format and its codec, for tests."""
 
 import struct
 
@@ -31,12 +31,12 @@
     flags: int = 0
 
     def pack(self) -> bytes:
-        """Return its bytes."""
+        """Return the encoded packet."""
         return _HEAD.pack(*attrs.astuple(self)) + bytes(self.size)
 
     @classmethod
     def unpack(cls, packed: bytes) -> 'Packet':
-        """Read it back."""
+        """Decode a packet."""
         return cls(*_HEAD.unpack_from(packed))
 
 
@@ -69,12 +69,12 @@
         return packet[: _HEAD.size]
 
     def with_ticket(self, packet: bytes, ticket: int) -> bytes:
-        """Return a packet that the server hands back with a number."""
+        """Return the packet with a ticket."""
         read = Packet.unpack(packet)
         return attrs.evolve(read, ticket=ticket).pack()
 
     def reset_for(self, head: Head) -> bytes:
-        """Return a reset that answers a caller's packet."""
+        """Return a reset in answer to a caller's packet."""
         return Packet(
             head.target, head.source, head.acknowledged, flags=RESET
         ).pack()
--- a/redwingstream/packets/tests/network.py
+++ b/redwingstream/packets/tests/network.py
@@ -1,8 +1,8 @@
-"""Balancers, agents, servers and callers in memory, in virtual time.
+"""Simulation of balancers, agents, servers and callers in virtual time.
 
-The decisions are the real ones; sockets and clocks are not there.  A server
-here holds flows, hands back what it does not hold, and answers each request
-after a fixed time, so many at once.
+The forwarding decisions are the real ones; sockets and clocks are simulated.  A
+simulated server holds flows, returns packets of flows that it does not hold,
+and answers each request after a fixed time, a fixed number of them at once.
 """
 
 import heapq
@@ -17,13 +17,13 @@
 from redwingstream.openings.gate import Gate, PoolRules
 from redwingstream.openings.pacing import ColdLimit
 from redwingstream.openings.reports import ServerReport
+from redwingstream.packets.agent_context import AgentContext, AgentLocation
+from redwingstream.packets.agent_flows import AgentFlows
 from redwingstream.packets.agent_forwarder import AgentForwarder
+from redwingstream.packets.balancer_forwarder import BalancerForwarder
 from redwingstream.packets.effects import Outgoing, ToCaller, ToPeer, ToServer
 from redwingstream.packets.envelopes import unpack_envelope
 from redwingstream.packets.flow import Address, address_of
-from redwingstream.packets.agent_flows import AgentFlows
-from redwingstream.packets.agent_context import AgentLocation, AgentContext
-from redwingstream.packets.balancer_forwarder import BalancerForwarder
 from redwingstream.packets.tests.codec import (
     ACCEPTING,
     OPENING,
@@ -51,19 +51,27 @@
 
 @attrs.define
 class Server:
-    """A backend server.
+    """A simulated backend server.
 
     Parameters
     ----------
+    node : AgentNode
+        The agent beside the server.
     slots : int
-        Requests that it runs at once.
-    run : float
-        Seconds for which it runs one.
+        Number of requests that it processes at once.
+    run_seconds : float
+        Seconds for which it processes a request.
+    alive : bool
+        False if it ignores all packets.
+    refuses : bool
+        True if it returns opening packets.
+    fails : callable
+        Returns True if the next answer is to be a reset.
     """
 
     node: 'AgentNode'
     slots: int = 2
-    run: float = 0.04
+    run_seconds: float = 0.04
     alive: bool = True
     refuses: bool = False
     fails: Callable[[], bool] = bool
@@ -77,8 +85,8 @@
     running: int = 0
     queue: list[Packet] = attrs.field(factory=list)
 
-    def take(self, packed: bytes) -> None:
-        """Take a packet from the agent."""
+    def handle_packet(self, packed: bytes) -> None:
+        """Handle a packet from the agent."""
         if not self.alive:
             return
         packet = Packet.unpack(packed)
@@ -95,7 +103,7 @@
                 self._work()
 
     def restart(self) -> None:
-        """Forget everything."""
+        """Drop all flows and requests."""
         self.sequence_by_flow.clear()
         self.open_flows.clear()
         self.queue.clear()
@@ -123,7 +131,9 @@
         while self.queue and self.running < self.slots:
             request = self.queue.pop(0)
             self.running += 1
-            self.node.network.later(self.run, lambda: self._end(request))
+            self.node.network.call_later(
+                self.run_seconds, lambda: self._end(request)
+            )
 
     def _end(self, request: Packet) -> None:
         self.running = max(0, self.running - 1)
@@ -135,11 +145,13 @@
 
     def _send(self, packet: Packet) -> None:
         network = self.node.network
-        network.later(HOP / 10, lambda: self.node.take_from_server(packet))
+        network.call_later(
+            HOP / 10, lambda: self.node.handle_server_packet(packet)
+        )
 
 
 class AgentNode:
-    """An agent and the server beside it."""
+    """A simulated agent and the server beside it."""
 
     def __init__(
         self, network: 'Network', host: str, zone: str, pool: str
@@ -155,11 +167,11 @@
         self.reported_at = 0.0
         self.readiness = Readiness.READY
         self.cold_until = 0.0
-        self.is_mute = False
+        self.is_not_reporting = False
         self.start()
 
-    def start(self, listens_since: float = float('inf')) -> None:
-        """Begin with an empty memory."""
+    def start(self, started_at: float = float('inf')) -> None:
+        """Start, or restart without any state."""
         self.gate = Gate(ColdLimit(1.5, 5), REPORT_INTERVAL, self.network.now)
         self.gate.rules = PoolRules()
         self.context = AgentContext(
@@ -170,7 +182,7 @@
             AgentFlows(IDLE_TIMEOUT),
             self.network.events.append,
         )
-        self.forwarder = AgentForwarder(self.context, listens_since)
+        self.forwarder = AgentForwarder(self.context, started_at)
 
     def report(
         self,
@@ -178,7 +190,7 @@
         cold_for: float | None = None,
         born: int = 1,
     ) -> None:
-        """Let the server say something of itself, new or as before."""
+        """Send a report of the server, changed by the given values."""
         now = self.network.now
         self.sequence += 1
         self.reported_at = now
@@ -199,39 +211,39 @@
         )
 
     def receive(self, payload: bytes, source: Address) -> None:
-        """Take a datagram of another process."""
+        """Handle a datagram of another process."""
         if self.alive:
             envelope = unpack_envelope(payload)
-            self._carry_out(
+            self._send_all(
                 self.forwarder.handle_envelope(
                     envelope, source, self.network.now
                 )
             )
 
-    def take_from_server(self, packet: Packet) -> None:
-        """Take a packet of the server."""
+    def handle_server_packet(self, packet: Packet) -> None:
+        """Handle a packet of the server."""
         if self.alive:
-            self._carry_out(
+            self._send_all(
                 self.forwarder.handle_server_packet(
                     packet.pack(), self.network.now
                 )
             )
 
     def tick(self) -> None:
-        """Let time pass."""
+        """Run the periodic work."""
         overdue = self.network.now - self.reported_at >= REPORT_INTERVAL
-        if overdue and self.alive and not self.is_mute:
+        if overdue and self.alive and not self.is_not_reporting:
             self.report()
         if self.alive:
-            self._carry_out(self.forwarder.process_waiting(self.network.now))
-            self._carry_out(self.forwarder.tick(self.network.now))
+            self._send_all(self.forwarder.process_waiting(self.network.now))
+            self._send_all(self.forwarder.tick(self.network.now))
 
-    def _carry_out(self, sending: list[Outgoing]) -> None:
-        self.network.carry_out(self.address, sending, self.server)
+    def _send_all(self, outgoing: list[Outgoing]) -> None:
+        self.network.send_all(self.address, outgoing, self.server)
 
 
 class BalancerNode:
-    """A balancer."""
+    """A simulated balancer."""
 
     def __init__(self, network: 'Network', host: str, zone: str) -> None:
         self.network = network
@@ -239,14 +251,14 @@
         self.address = address_of(host, 7721)
         self.alive = True
         self.view = AgentView()
-        self.hears_control = False
+        self.polls_control = False
         self.control_has_leader = True
-        self.control_is_warm = True
+        self.control_has_heard_all = True
         self._heard_at = float('-inf')
         self.start()
 
     def start(self) -> None:
-        """Begin with an empty memory."""
+        """Start, or restart without any state."""
         self.forwarder = BalancerForwarder(
             self.address,
             self.zone,
@@ -255,54 +267,54 @@
             self.network.events.append,
             IDLE_TIMEOUT,
         )
-        self.go_by(self.network.tables)
+        self.apply_tables(self.network.tables)
 
-    def go_by(self, tables: Tables) -> None:
-        """Take tables."""
+    def apply_tables(self, tables: Tables) -> None:
+        """Apply tables, as confirmed now."""
         self.forwarder.routes.confirmed_at = self.network.now
         routes = {
-            _address_of(route.service): route
+            _parse_address(route.service): route
             for route in tables.route_by_key.values()
         }
         self.forwarder.apply_tables(tables, routes)
 
-    def take_packet(self, packet: Packet) -> None:
-        """Take a caller's packet."""
+    def handle_packet(self, packet: Packet) -> None:
+        """Handle a caller's packet."""
         if self.alive:
-            sending = self.forwarder.handle_packet(
+            outgoing = self.forwarder.handle_packet(
                 packet.pack(), self.network.now
             )
-            self.network.carry_out(self.address, sending)
+            self.network.send_all(self.address, outgoing)
 
     def receive(self, payload: bytes, source: Address) -> None:
-        """Take a datagram of another process."""
+        """Handle a datagram of another process."""
         if self.alive:
-            sending = self.forwarder.handle_envelope(
+            outgoing = self.forwarder.handle_envelope(
                 unpack_envelope(payload), source, self.network.now
             )
-            self.network.carry_out(self.address, sending)
+            self.network.send_all(self.address, outgoing)
 
     def tick(self) -> None:
-        """Let time pass."""
+        """Run the periodic work."""
         if self.alive:
-            self._hear_control()
-            sending = self.forwarder.tick(self.network.now)
-            self.network.carry_out(self.address, sending)
+            self._poll_control()
+            outgoing = self.forwarder.tick(self.network.now)
+            self.network.send_all(self.address, outgoing)
 
-    def _hear_control(self) -> None:
+    def _poll_control(self) -> None:
         now = self.network.now
-        if self.hears_control and now >= self._heard_at + CONTROL_INTERVAL:
+        if self.polls_control and now >= self._heard_at + CONTROL_INTERVAL:
             self._heard_at = now
             self.view.handle_records(CONTROL, 1, (), now)
             if self.control_has_leader:
                 self.forwarder.routes.confirmed_at = now
-            self.view.is_complete = self.control_is_warm
-            sending = self.forwarder.reset_dead_flows(now)
-            self.network.carry_out(self.address, sending)
+            self.view.is_complete = self.control_has_heard_all
+            outgoing = self.forwarder.reset_dead_flows(now)
+            self.network.send_all(self.address, outgoing)
 
 
 class Caller:
-    """One flow of a caller."""
+    """A simulated caller with one flow."""
 
     def __init__(self, network: 'Network', host: str, port: int) -> None:
         self.network = network
@@ -313,19 +325,19 @@
         self.began_at = 0.0
         self.accepted_at: float | None = None
         self.reset_at: float | None = None
-        self.asks_by: BalancerNode | None = None
+        self.request_balancer: BalancerNode | None = None
 
     def open(self, balancer: BalancerNode) -> 'Caller':
-        """Send the opening packet, and its copies while nothing comes.
+        """Send the opening packet, and its copies while there is no answer.
 
-        Once the flow is accepted, a request follows.
+        Once the flow is accepted, the caller sends a request.
         """
         self.began_at = self.network.now
-        self.asks_by = balancer
+        self.request_balancer = balancer
         self.network.caller_by_address[self.address] = self
         self._send_opening(balancer, 0)
         for number, after in enumerate(COPIES_AFTER, start=1):
-            self.network.later(
+            self.network.call_later(
                 after, lambda copy=number: self._copy(balancer, copy)
             )
         return self
@@ -333,12 +345,12 @@
     def ask(self, balancer: BalancerNode, size: int = 4) -> None:
         """Send a request on the open flow."""
         assert self.accepted is not None
-        balancer.take_packet(
+        balancer.handle_packet(
             Packet(self.address, SERVICE, 1, self.accepted, size=size),
         )
 
-    def take(self, packet: Packet) -> None:
-        """Take a packet."""
+    def handle_packet(self, packet: Packet) -> None:
+        """Handle a packet."""
         if packet.flags & RESET:
             self.resets += 1
             self.reset_at = self.network.now
@@ -346,8 +358,8 @@
             if self.accepted is None and not self.resets:
                 self.accepted = packet.sequence
                 self.accepted_at = self.network.now
-                if self.asks_by is not None:
-                    self.ask(self.asks_by)
+                if self.request_balancer is not None:
+                    self.ask(self.request_balancer)
         elif packet.size:
             self.answers += 1
 
@@ -362,13 +374,13 @@
             self._send_opening(balancer, number)
 
     def _send_opening(self, balancer: BalancerNode, number: int) -> None:
-        balancer.take_packet(
+        balancer.handle_packet(
             Packet(self.address, SERVICE, 1, number, flags=OPENING)
         )
 
 
 class Network:
-    """Everything together."""
+    """All simulated processes, and the queue of due actions."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -382,7 +394,7 @@
         self.agent_by_address: dict[Address, AgentNode] = {}
         self.balancers: list[BalancerNode] = []
         self.caller_by_address: dict[Address, Caller] = {}
-        self.lost: Callable[[Address, Address], bool] = _none_lost
+        self.is_lost: Callable[[Address, Address], bool] = _is_never_lost
         self._order = itertools.count()
         self._next_tick = TICK
         self._due: list[tuple[float, int, Callable[[], None]]] = []
@@ -399,18 +411,18 @@
         agent = AgentNode(self, host, zone, pool)
         self.agent_by_address[agent.address] = agent
         agent.report()
-        self.make_known()
+        self.publish_agents()
         return agent
 
     def add_balancer(self, host: str, zone: str = 'north') -> BalancerNode:
         """Add a balancer."""
         balancer = BalancerNode(self, host, zone)
         self.balancers.append(balancer)
-        self.make_known()
+        self.publish_agents()
         return balancer
 
-    def make_known(self) -> None:
-        """Let everybody know all agents as they are now."""
+    def publish_agents(self) -> None:
+        """Update the views of all agents and balancers."""
         known = {
             agent.address: Agent(
                 agent.address,
@@ -426,7 +438,7 @@
             node.view.replace_all(known.values())
 
     def mark_zone(self, zone: str, *, out: bool) -> None:
-        """Take a zone out or back in, everywhere at once."""
+        """Mark a zone as out or back in at all agents and balancers."""
         marks = {zone: ZoneMark(zone, out)}
         self.tables = attrs.evolve(
             self.tables,
@@ -434,45 +446,50 @@
             zone_by_name={**self.tables.zone_by_name, **marks},
         )
         for balancer in self.balancers:
-            balancer.go_by(self.tables)
+            balancer.apply_tables(self.tables)
         for agent in self.agents:
             agent.gate.rules = PoolRules.from_tables(
                 self.tables, agent.pool, agent.zone
             )
 
-    def later(self, after: float, act: Callable[[], None]) -> None:
-        """Do something after some seconds."""
+    def call_later(self, after: float, act: Callable[[], None]) -> None:
+        """Call a function after some seconds of virtual time."""
         heapq.heappush(self._due, (self.now + after, next(self._order), act))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Run the periodic work."""
         end = self.now + seconds
         while self._next_tick <= end:
-            self.later(self._next_tick - self.now, self._tick)
+            self.call_later(self._next_tick - self.now, self._tick)
             self._next_tick += TICK
         while self._due and self._due[0][0] <= end:
             self.now, _, act = heapq.heappop(self._due)
             act()
         self.now = end
 
-    def carry_out(
+    def send_all(
         self,
         source: Address,
-        sending: list[Outgoing],
+        outgoing: list[Outgoing],
         server: Server | None = None,
     ) -> None:
-        """Send what a node wants sent."""
-        for one in sending:
+        """Deliver the datagrams of a node."""
+        for one in outgoing:
             match one:
                 case ToServer(payload=payload) if server is not None:
-                    self.later(HOP / 10, lambda sent=payload: server.take(sent))
+                    self.call_later(
+                        HOP / 10,
+                        lambda sent=payload: server.handle_packet(sent),
+                    )
                 case ToPeer(payload=payload, target=target):
                     self._send(source, payload, target)
                 case ToCaller(payload=payload):
-                    self.later(HOP, lambda sent=payload: self._to_caller(sent))
+                    self.call_later(
+                        HOP, lambda sent=payload: self._to_caller(sent)
+                    )
 
     def _send(self, source: Address, payload: bytes, target: Address) -> None:
-        if self.lost(source, target):
+        if self.is_lost(source, target):
             return
         nodes = {
             **self.agent_by_address,
@@ -480,23 +497,23 @@
         }
         node = nodes.get(target)
         if node is not None:
-            self.later(HOP, lambda: node.receive(payload, source))
+            self.call_later(HOP, lambda: node.receive(payload, source))
 
     def _to_caller(self, payload: bytes) -> None:
         packet = Packet.unpack(payload)
         caller = self.caller_by_address.get(packet.target)
         if caller is not None:
-            caller.take(packet)
+            caller.handle_packet(packet)
 
     def _tick(self) -> None:
         for node in (*self.agents, *self.balancers):
             node.tick()
 
 
-def _none_lost(source: Address, target: Address) -> bool:
+def _is_never_lost(source: Address, target: Address) -> bool:
     return False
 
 
-def _address_of(text: str) -> Address:
+def _parse_address(text: str) -> Address:
     host, _, port = text.partition(':')
     return address_of(host, int(port))
--- a/redwingstream/packets/tests/test_any_input.py
+++ b/redwingstream/packets/tests/test_any_input.py
@@ -1,4 +1,4 @@
-"""Nothing that comes in a datagram ends a process or fills its memory."""
+"""Arbitrary datagrams neither stop a process nor exhaust its memory."""
 
 import random
 from collections.abc import Iterator
@@ -7,6 +7,7 @@
 
 from redwingstream.directory.messages import Inquiry
 from redwingstream.errors import WireError
+from redwingstream.packets.agent_flows import MAX_FLOWS
 from redwingstream.packets.bounded_table import BoundedTable
 from redwingstream.packets.envelopes import (
     Envelope,
@@ -15,7 +16,6 @@
     unpack_envelope,
 )
 from redwingstream.packets.flow import address_of
-from redwingstream.packets.agent_flows import MAX_FLOWS
 from redwingstream.packets.ranking import pool_hash
 from redwingstream.packets.tests.codec import Packet
 from redwingstream.packets.tests.network import (
@@ -98,7 +98,7 @@
 
 
 class TestAgent:
-    """Envelopes of any kind, and what a server sends."""
+    """Envelopes of any kind, and packets of the server."""
 
     def test_stays_up_and_bounded(self, network) -> None:
         agent = network.agents[0]
@@ -120,7 +120,7 @@
 
 
 class TestBalancer:
-    """Packets of callers, and envelopes."""
+    """Packets of callers, and envelopes of any kind."""
 
     def test_stays_up_and_bounded(self, network) -> None:
         balancer = network.balancers[0]
@@ -129,11 +129,11 @@
         assert len(balancer.forwarder.hints) <= balancer.forwarder.hints.size
 
     def test_envelopes(self, network) -> None:
-        steering = network.balancers[0].forwarder
+        forwarder = network.balancers[0].forwarder
         refused = 0
         for number, datagram in enumerate(_envelopes(random.Random(4))):
             try:
-                steering.handle_envelope(
+                forwarder.handle_envelope(
                     unpack_envelope(datagram), SOURCE, number / 1000
                 )
             except WireError:
@@ -142,7 +142,7 @@
 
 
 class TestFrames:
-    """What control instances, agents and balancers say to each other."""
+    """Encrypted frames between control instances, agents and balancers."""
 
     def test_only_whole_frames_are_opened(self) -> None:
         chance = random.Random(5)
@@ -154,13 +154,13 @@
 
 
 class TestBoundedTable:
-    """Tables with a size and an age."""
+    """Tables with a maximum size and an idle time limit."""
 
     @pytest.fixture
     def table(self) -> BoundedTable[int, str]:
         return BoundedTable(size=3, age=10)
 
-    def test_forgets_what_was_used_longest_ago(self, table) -> None:
+    def test_evicts_least_recently_used_row(self, table) -> None:
         for key in range(3):
             table.put(key, str(key), now=0)
         table.get(0, now=1)
@@ -169,13 +169,13 @@
         assert table.get(0, now=1) == '0'
         assert table.overflowed == 1
 
-    def test_forgets_what_is_old(self, table) -> None:
+    def test_evicts_expired_rows(self, table) -> None:
         table.put(1, '1', now=0)
         assert table.get(1, now=10) == '1'
         assert table.get(1, now=21) is None
 
-    def test_says_what_it_forgets(self, table) -> None:
+    def test_returns_evicted_rows(self, table) -> None:
         table.put(1, '1', now=0)
         table.put(2, '2', now=5)
-        assert table.forget_old(now=11) == ['1']
+        assert table.evict_expired(now=11) == ['1']
         assert len(table) == 1
--- a/redwingstream/packets/tests/test_cold_places.py
+++ b/redwingstream/packets/tests/test_cold_pools.py
@@ -1,4 +1,4 @@
-"""Pattern: all servers are cold, and callers ask for more than they bear."""
+"""Cold pool: all servers are cold, and more flows arrive than they may get."""
 
 import random
 
@@ -20,7 +20,7 @@
     for number in range(SERVERS):
         agent = network.add_agent(f'10.1.0.{number + 1}')
         agent.server.slots = 1
-        agent.server.run = 0.024
+        agent.server.run_seconds = 0.024
         agent.context.timeout_by_service = {SERVICE: TIMEOUT}
         agent.report(cold_for=COLD_FOR)
     balancer = network.add_balancer('10.1.0.100')
@@ -35,16 +35,16 @@
 
 @pytest.mark.parametrize('seed', range(4))
 class TestColdPool:
-    """Its places are used, and by callers that still have time."""
+    """All permitted flows are opened, for callers that still have time."""
 
-    def test_who_is_let_in_has_just_come(self, seed) -> None:
-        """Guards against places for callers whose answers are late already."""
+    def test_accepted_flows_have_not_waited_long(self, seed) -> None:
+        """Guards against opening flows whose answers would be too late."""
         _, callers = _cold_pool(seed)
         waited = [one.waited for one in callers if one.accepted is not None]
         assert max(waited) <= TARGET
 
-    def test_all_places_are_used(self, seed) -> None:
-        """Guards against refusals while servers have places left."""
+    def test_all_permitted_flows_are_opened(self, seed) -> None:
+        """Guards against refusals while servers may get more flows."""
         network, _ = _cold_pool(seed)
         early = [
             moment
@@ -54,7 +54,7 @@
         ]
         assert len(early) == SERVERS * ALLOWED
 
-    def test_the_others_are_told_at_once(self, seed) -> None:
+    def test_other_flows_are_refused_at_once(self, seed) -> None:
         network, callers = _cold_pool(seed)
         network.run(TARGET)
         assert not any(
--- a/redwingstream/packets/tests/test_early.py
+++ b/redwingstream/packets/tests/test_early.py
@@ -1,10 +1,10 @@
-"""Pattern: all processes start at once, and callers do not wait for them."""
+"""Packets that arrive while all processes are starting."""
 
 import pytest
 
-from redwingstream.packets.early import (
-    KEPT_FOR,
+from redwingstream.packets.early_packets import (
     MAX_KEPT,
+    MAX_KEPT_SECONDS,
     EarlyPackets,
 )
 from redwingstream.packets.events import FlowDropped
@@ -24,34 +24,34 @@
 
 @pytest.fixture
 def balancer(network) -> BalancerNode:
-    """A balancer that has just started and has heard nobody."""
+    """A balancer that has just started and knows neither tables nor agents."""
     made = network.add_balancer('10.1.0.100')
     made.forwarder.apply_tables(Tables(), {})
     made.forwarder.routes.confirmed_at = float('-inf')
     return made
 
 
-def _inform(network: Network, balancer: BalancerNode) -> None:
-    balancer.go_by(network.tables)
-    sending = balancer.forwarder.retry_early(network.now)
-    network.carry_out(balancer.address, sending)
+def _make_reachable(network: Network, balancer: BalancerNode) -> None:
+    balancer.apply_tables(network.tables)
+    outgoing = balancer.forwarder.retry_early(network.now)
+    network.send_all(balancer.address, outgoing)
 
 
 class TestBeforeTheTables:
-    """Packets come before the tables do."""
+    """Packets arrive before the tables."""
 
     def test_opens_as_soon_as_they_are_there(self, network, balancer) -> None:
-        """Guards against a wait for the caller's copy after a restart."""
+        """Guards against waiting for the caller's next copy after a restart."""
         network.add_agent('10.1.0.1')
         caller = Caller(network, '100.64.0.1', 1000).open(balancer)
         network.run(0.1)
-        _inform(network, balancer)
+        _make_reachable(network, balancer)
         network.run(3 * HOP)
         assert caller.accepted is not None
         assert caller.waited < 0.1 + 3 * HOP
 
     def test_an_open_flow_goes_on(self, network, balancer) -> None:
-        """Guards against a wait for the repeat of a request."""
+        """Guards against waiting for the retransmission of a request."""
         agent = network.add_agent('10.1.0.1')
         other = network.add_balancer('10.1.0.101')
         caller = Caller(network, '100.64.0.1', 1000).open(other)
@@ -59,17 +59,17 @@
         caller.ask(balancer)
         network.run(0.05)
         taken = len(agent.server.taken)
-        _inform(network, balancer)
+        _make_reachable(network, balancer)
         network.run(3 * HOP)
         assert len(agent.server.taken) == taken + 1
 
     def test_is_not_sent_on_after_its_repeat(self, network, balancer) -> None:
-        """Guards against late first packets that open flows for nobody."""
+        """Guards against late first packets that open unused flows."""
         network.add_agent('10.1.0.1')
         caller = Caller(network, '100.64.0.1', 1000)
         caller.open(balancer)
         balancer.alive = False
-        network.run(KEPT_FOR + 0.05)
+        network.run(MAX_KEPT_SECONDS + 0.05)
         assert not balancer.forwarder.retry_early(network.now)
         reasons = [
             event.reason
@@ -80,23 +80,23 @@
 
 
 class TestBeforeTheAgents:
-    """Tables are there, and no agent is known yet."""
+    """Tables are in force, and no agent is known yet."""
 
     def test_is_not_refused(self, network, balancer) -> None:
-        """Guards against refusals while agents are about to be known."""
-        balancer.go_by(network.tables)
+        """Guards against refusals before the agents are known."""
+        balancer.apply_tables(network.tables)
         caller = Caller(network, '100.64.0.1', 1000).open(balancer)
         network.run(0.05)
         assert not caller.resets
         network.add_agent('10.1.0.1')
-        _inform(network, balancer)
+        _make_reachable(network, balancer)
         network.run(3 * HOP)
         assert caller.accepted is not None
 
     def test_is_refused_once_all_agents_are_known(
         self, network, balancer
     ) -> None:
-        balancer.go_by(network.tables)
+        balancer.apply_tables(network.tables)
         balancer.view.is_complete = True
         caller = Caller(network, '100.64.0.1', 1000).open(balancer)
         network.run(0.05)
@@ -104,12 +104,12 @@
 
 
 class TestEarlyPackets:
-    """What is kept is bounded."""
+    """The number of kept packets is limited."""
 
-    def test_the_oldest_give_way(self) -> None:
+    def test_oldest_packets_are_dropped(self) -> None:
         early = EarlyPackets()
         for number in range(MAX_KEPT + 5):
-            early.keep(number.to_bytes(2), 0)
+            early.add(number.to_bytes(2), 0)
         assert len(early) == MAX_KEPT
         assert early.overflowed == 5
         assert early.pop_all()[0].packet == (5).to_bytes(2)
--- a/redwingstream/packets/tests/test_failing_servers.py
+++ b/redwingstream/packets/tests/test_failing_servers.py
@@ -1,10 +1,9 @@
-"""Servers that report that they are ready, and fail their requests.
+"""Servers that report to be ready but fail their requests.
 
-The pattern: one server of ten breaks its requests off, all or half of them, for
-eight seconds, while its reports and its health page are good.  Callers open 50
-flows a second, five for each server; the users' sheets have 3 to 5.  A request
-that may not run twice is not tried again by its caller: each one that such a
-server gets is lost.
+One server of ten resets all or half of its requests for eight seconds, while
+its reports and health checks are good.  Callers open 50 flows a second, five
+per server, where users expect 3 to 5.  A request that must not run twice is not
+retried by its caller, so each request given to such a server is lost.
 """
 
 import random
@@ -27,7 +26,7 @@
 
 
 class _Load:
-    """A pool, and callers that open one flow after the other."""
+    """A pool, and callers that open flows at a fixed rate."""
 
     def __init__(self) -> None:
         self.network = Network()
@@ -37,7 +36,7 @@
         self.callers: list[Caller] = []
 
     @property
-    def grey(self) -> AgentNode:
+    def failing_agent(self) -> AgentNode:
         return self.network.agents[0]
 
     @property
@@ -62,7 +61,7 @@
 
 @pytest.fixture
 def load() -> _Load:
-    """Ten servers that work."""
+    """Ten working servers."""
     made = _Load()
     made.run(1)
     return made
@@ -77,8 +76,8 @@
     """One server of the pool fails its requests."""
 
     def test_loses_few_requests_when_it_fails_all(self, load) -> None:
-        """One in ten of all bookings fails, for as long as the server does."""
-        load.grey.server.fails = lambda: True
+        """Guards against losing a tenth of all requests."""
+        load.failing_agent.server.fails = lambda: True
         load.run(FAILS_FOR)
         assert load.failed <= 4 + FAILS_FOR + 2
         doubted = [
@@ -87,36 +86,39 @@
         assert len(doubted) == 1
 
     def test_loses_few_requests_when_it_fails_half(self, load) -> None:
-        load.grey.server.fails = _half()
+        load.failing_agent.server.fails = _half()
         load.run(FAILS_FOR)
         assert load.failed <= 4 + FAILS_FOR + 2
 
     def test_gets_its_share_again_once_it_works(self, load) -> None:
-        load.grey.server.fails = lambda: True
+        load.failing_agent.server.fails = lambda: True
         load.run(FAILS_FOR)
-        load.grey.server.fails = bool
+        load.failing_agent.server.fails = bool
         load.run(4)
         since = load.network.now
         load.run(4)
-        assert load.opened_since(load.grey, since) >= RATE * 4 / SERVERS / 2
+        assert (
+            load.opened_since(load.failing_agent, since)
+            >= RATE * 4 / SERVERS / 2
+        )
         assert any(
             isinstance(one, ServerTrusted) for one in load.network.events
         )
 
 
 class TestAllFail:
-    """The fault is not the server's: every server fails."""
+    """Every server fails, so that the fault is not that of one server."""
 
     def test_the_pool_is_not_given_up(self, load) -> None:
-        """All callers are refused though servers would try to serve them."""
+        """Guards against refusing all flows when servers serve half."""
         for agent in load.network.agents:
             agent.server.fails = _half()
         before = len(load.callers)
         load.run(FAILS_FOR)
-        since_before = load.callers[before:]
-        assert all(caller.accepted is not None for caller in since_before)
-        served = sum(caller.answers > 0 for caller in since_before)
-        assert served >= 0.4 * len(since_before)
+        opened = load.callers[before:]
+        assert all(caller.accepted is not None for caller in opened)
+        served = sum(caller.answers > 0 for caller in opened)
+        assert served >= 0.4 * len(opened)
 
     def test_a_pool_of_one_server_goes_on(self) -> None:
         network = Network()
--- a/redwingstream/packets/tests/test_large_pools.py
+++ b/redwingstream/packets/tests/test_large_pools.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from redwingstream.packets.envelopes import Envelope, Kind
 from redwingstream.packets.agent_flows import CarriedFlow, FlowState
+from redwingstream.packets.envelopes import Envelope, Kind
 from redwingstream.packets.tests.codec import OPENING, Packet
 from redwingstream.packets.tests.network import (
     CODEC,
@@ -43,9 +43,9 @@
             self._add(f'10.1.{number // 200}.{number % 200 + 1}', number)
         self.home = self._add('10.2.0.1')
         self.home.server.refuses = True
-        self.network.make_known()
+        self.network.publish_agents()
         self.balancer = self.network.add_balancer('10.9.0.100', HOME_ZONE)
-        self.balancer.hears_control = True
+        self.balancer.polls_control = True
         self.caller = Caller(self.network, '100.64.0.1', 1000)
         self.caller.open(self.balancer)
         self.network.run(1)
@@ -58,21 +58,19 @@
             agent for agent in self.network.agents if agent.server.open_flows
         )
 
-    def restart_other_agents(
-        self, listens_since: float = -IDLE_TIMEOUT
-    ) -> None:
+    def restart_other_agents(self, started_at: float = -IDLE_TIMEOUT) -> None:
         """Restart the balancer and all agents except the carrier."""
         carrier = self.carrier
         for agent in self.network.agents:
             if agent is not carrier:
-                agent.start(listens_since=listens_since)
+                agent.start(started_at=started_at)
         self.balancer.start()
 
     def restart_all(self) -> None:
         """Restart the balancer, all agents and all servers."""
         for agent in self.network.agents:
             agent.server.restart()
-            agent.start(listens_since=-IDLE_TIMEOUT)
+            agent.start(started_at=-IDLE_TIMEOUT)
         self.balancer.start()
 
     def ask(self, seconds: float) -> None:
@@ -132,7 +130,7 @@
         """Guards against restarted agents that report open flows as dead."""
         carrier = fleet.carrier
         for agent in fleet.network.agents:
-            agent.start(listens_since=fleet.network.now)
+            agent.start(started_at=fleet.network.now)
         fleet.balancer.start()
         fleet.ask(FOUND_WITHIN)
         assert fleet.caller.answers == 2
@@ -194,7 +192,7 @@
                 lost.append(source)
             return is_first
 
-        fleet.network.lost = drop_first
+        fleet.network.is_lost = drop_first
         fleet.ask(1.5)
         assert lost
         assert fleet.caller.resets == 1
@@ -210,7 +208,7 @@
         for agent in fleet.network.agents[10:15]:
             agent.gate.state.mark_ended()
             agent.alive = False
-        fleet.network.make_known()
+        fleet.network.publish_agents()
         fleet.network.run(1)
         fleet.ask(1)
         assert fleet.caller.resets == 1
@@ -220,7 +218,9 @@
         fleet = _Fleet(109)
         cut_off = fleet.carrier.address
         fleet.restart_other_agents()
-        fleet.network.lost = lambda source, target: cut_off in (source, target)
+        fleet.network.is_lost = lambda source, target: (
+            cut_off in (source, target)
+        )
         for _ in range(4):
             fleet.ask(1)
         assert not fleet.caller.resets
--- a/redwingstream/packets/tests/test_searching.py
+++ b/redwingstream/packets/tests/test_open_flows.py
@@ -1,4 +1,4 @@
-"""Open flows whose agent no balancer remembers."""
+"""Open flows whose carrier no balancer knows."""
 
 from redwingstream.packets.tests.network import (
     IDLE_TIMEOUT,
@@ -10,7 +10,8 @@
 
 JOINED = 46
 PORT = 1004
-"""With this one more than 16 of those that joined come before the carrier."""
+"""Caller port with which more than 16 of the joined agents rank before the
+carrier."""
 
 
 def _carrier(network: Network) -> AgentNode:
@@ -18,7 +19,7 @@
 
 
 def _far_flow() -> tuple[Network, BalancerNode, Caller]:
-    """A flow near whose balancer nobody had room; many agents joined since."""
+    """Return a flow carried in another zone, where many agents joined later."""
     network = Network()
     near = network.add_agent('10.1.0.1', 'north')
     near.server.refuses = True
@@ -32,15 +33,15 @@
 
 
 class TestNewHome:
-    """The first agent by rank has joined after the flow was opened."""
+    """The home of a flow has joined after the flow was opened."""
 
-    def test_the_one_before_it_still_knows(self) -> None:
-        """A feed stalls after instances were added.
+    def test_former_home_still_knows_the_carrier(self) -> None:
+        """Guards against a feed that stalls after instances were added.
 
-        A feed is carried in another zone; its packets go by a balancer's hint,
-        so its home sees none of them.  After a rest longer than the idle
-        time-out of that memory, but not of the feed, an agent joins that comes
-        first by rank, and the feed's packets reach another balancer.
+        The feed is carried in another zone; by a balancer's hint its packets do
+        not pass its home.  After more than the idle time-out, agents join that
+        rank first, and the feed's packets reach another balancer.  The former
+        home must still know the carrier.
         """
         network, balancer, caller = _far_flow()
         carrier = _carrier(network)
@@ -60,11 +61,12 @@
         assert carrier.server.open_flows
         assert not any(agent.server.taken for agent in added)
 
-    def test_packets_are_kept_from_a_server_that_cannot_hold_it(self) -> None:
-        """A server is given packet after packet of another one's flow.
+    def test_is_not_delivered_to_a_server_that_cannot_hold_it(self) -> None:
+        """Guards against delivering packets to servers without the flow.
 
-        Nobody remembers the flow any more.  The home's server has been heard
-        from its first report on, so its agent would know a flow of it.
+        No balancer or home knows the carrier.  The agent of the home has seen
+        all packets of its server, so it knows that the server does not hold the
+        flow.
         """
         network = Network()
         carrier = network.add_agent('10.1.0.1')
@@ -84,10 +86,10 @@
         assert not any(counters.handed_back for counters in handed)
 
     def test_one_packet_shows_that_a_server_does_not_hold_it(self) -> None:
-        """A server is given packet after packet of a flow that is gone.
+        """Guards against delivering each packet of a lost flow to a server.
 
-        The home's agent was restarted and does not know what its server holds.
-        The first packet is handed back, and the caller sends more of them.
+        The agent was restarted and does not know the flows of its server.  The
+        server returns the first packet, and the caller sends more of them.
         """
         network = Network()
         carrier = network.add_agent('10.1.0.1')
@@ -98,7 +100,7 @@
         carrier.start()
         carrier.report()
         balancer.start()
-        network.make_known()
+        network.publish_agents()
         for _ in range(5):
             network.run(1.1)
             caller.ask(balancer)
@@ -107,20 +109,20 @@
 
 
 class TestForgottenFlow:
-    """Neither a balancer nor the home knows where a flow is."""
+    """Neither a balancer nor the home knows the carrier of a flow."""
 
     def test_is_found_in_a_large_pool(self) -> None:
-        """A feed is silent for good after a restart beside its home.
+        """Guards against a feed that stalls after restarts.
 
-        The home's agent and all balancers were started again; the feed is
-        carried by any of 47 others.
+        The home and all balancers were restarted; the feed is carried by one of
+        47 other agents.
         """
         network, balancer, caller = _far_flow()
         home = network.agents[0]
-        home.start(listens_since=-IDLE_TIMEOUT)
+        home.start(started_at=-IDLE_TIMEOUT)
         home.report()
         balancer.start()
-        network.make_known()
+        network.publish_agents()
         answers = caller.answers
         caller.ask(balancer)
         network.run(1)
--- a/redwingstream/packets/tests/test_opening.py
+++ b/redwingstream/packets/tests/test_opening.py
@@ -1,4 +1,4 @@
-"""New flows: who is given them, who waits, who is refused."""
+"""New flows: which server receives them, and which are refused."""
 
 import pytest
 
@@ -39,7 +39,7 @@
 
 
 class TestOpening:
-    """A new flow finds a server."""
+    """A new flow is opened at a server."""
 
     def test_is_accepted_in_two_hops(self) -> None:
         network, balancer = _fleet(agents=1)
@@ -82,11 +82,10 @@
         assert _flows_at([near, far]) == [4, 1]
 
     def test_a_copy_reaches_the_same_server(self) -> None:
-        """A caller whose answer was lost opens one flow, not two.
+        """Guards against opening one flow at two servers.
 
-        The server's answer to the first packet is lost; the copy after 200 ms
-        must meet the same server, or the caller's data would reach a second
-        one that the first still holds a flow for.
+        The server's answer to the first packet is lost.  The copy after 200 ms
+        must reach the same server, or two servers hold the flow.
         """
         network, balancer = _fleet(agents=4)
         caller = Caller(network, '100.64.0.1', 1000)
@@ -96,20 +95,20 @@
         caller.began_at = network.now
         for number in range(2):
             packet = Packet(caller.address, SERVICE, 1, number, flags=OPENING)
-            balancer.take_packet(packet)
+            balancer.handle_packet(packet)
             network.run(0.2)
         assert sorted(_flows_at(network.agents)) == [0, 0, 0, 1]
 
 
 class TestSilentAgent:
-    """An agent that does not answer costs a caller one copy."""
+    """An agent that does not answer delays a caller by one copy."""
 
     def test_the_copy_goes_to_another_agent(self) -> None:
-        """A caller whose agent is dead is served at its first copy.
+        """Guards against outgoing copies to an agent that does not answer.
 
-        The instance of the flow's agent loses power; nobody has noticed.  The
-        first opening packet is lost with it, the copy after 200 ms goes to
-        another agent.
+        The instance of the agent has lost power, and no other process has
+        noticed.  The first opening packet is lost; the copy after 200 ms must
+        go to another agent.
         """
         network, balancer = _fleet(agents=2)
         lost = network.agents[0]
@@ -141,7 +140,7 @@
 
 
 class TestLeaving:
-    """A server that leaves gets no new flow."""
+    """A server that is not ready receives no new flow."""
 
     @pytest.mark.parametrize(
         'readiness', [Readiness.DRAINING, Readiness.UNKNOWN]
@@ -151,18 +150,18 @@
         leaving = network.agents[0]
         if readiness is Readiness.UNKNOWN:
             leaving.start()
-            leaving.is_mute = True
+            leaving.is_not_reporting = True
         else:
             leaving.report(readiness)
         callers = _open_all(network, balancer, 6)
         assert all(caller.accepted is not None for caller in callers)
         assert not leaving.server.opened_at
 
-    def test_others_need_not_know_it(self) -> None:
-        """A server that drains gets nothing new, though nobody was told.
+    def test_even_if_only_its_agent_knows(self) -> None:
+        """Guards against new flows at a draining server.
 
-        The agent has acknowledged that its server drains; balancers and other
-        agents still take it for ready, since control is cut off.
+        The agent knows that its server is draining; balancers and other agents
+        still believe it to be ready, since they are cut off from control.
         """
         network, balancer = _fleet(agents=2)
         leaving = network.agents[0]
@@ -180,7 +179,7 @@
 
 
 class TestZoneOut:
-    """An availability zone that is out gets no new flow."""
+    """An availability zone that is out receives no new flow."""
 
     def test_new_flows_go_to_other_zones(self) -> None:
         network = Network()
@@ -193,11 +192,12 @@
         assert _flows_at([out, rest]) == [0, 2]
 
     def test_uses_up_no_tries(self) -> None:
-        """New flows are refused although a server has room.
+        """Guards against refusing new flows while a server is idle.
 
-        The servers of the caller's zone are busy, one zone is out, and one
-        server of a third zone is idle.  Four agents look at a new flow; did
-        those of the zone that is out count, the idle one would seldom be asked.
+        The server of the balancer's zone is busy, one zone is out, and one
+        server of a third zone is idle.  Only four agents are tried for a new
+        flow; if agents of the zone that is out were among them, the idle server
+        would rarely be reached.
         """
         network = Network()
         network.add_agent('10.1.0.1', 'north')
@@ -211,11 +211,11 @@
         assert _flows_at([idle]) == [2]
 
     def test_a_returned_zone_counts_as_cold(self) -> None:
-        """Servers of a zone that comes back are not flooded.
+        """Guards against overloading servers of a zone that comes back.
 
-        They may have turned cold while the zone was out, and their next report
-        comes up to 1.2 s later.  Until it has come, an agent gives its server
-        no more than a cold one may get.
+        They may have become cold while the zone was out, and their next report
+        arrives up to 1.2 s later.  Until then an agent gives its server no more
+        flows than a cold server may get.
         """
         network = Network()
         agent = network.add_agent('10.1.0.1')
@@ -224,7 +224,7 @@
         network.run(1)
         network.mark_zone('north', out=False)
         agent.gate.assume_cold(network.now)
-        agent.is_mute = True
+        agent.is_not_reporting = True
         for number in range(20):
             Caller(network, '100.64.0.1', 1000 + number).open(balancer)
         network.run(0.9)
@@ -232,7 +232,7 @@
 
 
 class TestRefusal:
-    """What nobody can take is refused at once, and truthfully."""
+    """A flow that no server can accept is refused at once."""
 
     def test_at_once(self) -> None:
         network, balancer = _fleet(agents=2)
@@ -250,18 +250,18 @@
         assert caller.resets == 1
 
     def test_a_copy_is_never_answered_with_a_reset(self) -> None:
-        """A flow that has just opened is not broken by a late refusal.
+        """Guards against a late refusal that breaks an open flow.
 
-        The first packet opens the flow; its copy, sent before the answer came,
-        reaches an agent that cannot take it.  A reset for the copy would reach
-        the caller after the flow has opened.
+        The first packet opens the flow; its copy, sent before the answer
+        arrived, reaches an agent that cannot open it.  A reset in answer to the
+        copy would reach the caller after the flow has opened.
         """
         network, balancer = _fleet(agents=1)
         caller = Caller(network, '100.64.0.1', 1000)
         network.caller_by_address[caller.address] = caller
         network.agents[0].report(Readiness.DRAINING)
         packet = Packet(caller.address, SERVICE, 1, 1, flags=OPENING)
-        balancer.take_packet(packet)
+        balancer.handle_packet(packet)
         network.run(0.1)
         assert caller.resets == 0
 
@@ -271,16 +271,16 @@
         network.caller_by_address[caller.address] = caller
         nowhere = address_of('198.18.0.9', 1)
         packet = Packet(caller.address, nowhere, 1, flags=OPENING)
-        balancer.take_packet(packet)
+        balancer.handle_packet(packet)
         network.run(0.1)
         assert caller.resets == 1
 
     def test_not_when_the_tables_may_be_old(self) -> None:
-        """A balancer that is cut off from control refuses no new route.
+        """Guards against refusing flows of a route that was just added.
 
-        A route is added while the balancer cannot hear of it.  A reset would
-        tell the caller that there is no such route; silence lets its copy go
-        to a balancer that knows better.
+        The route is added while the balancer is cut off from control.  After a
+        reset the caller would give up; without an answer it sends a copy, which
+        may reach a balancer with newer tables.
         """
         network, balancer = _fleet(agents=1)
         network.run(2)
@@ -288,15 +288,16 @@
         network.caller_by_address[caller.address] = caller
         nowhere = address_of('198.18.0.9', 1)
         packet = Packet(caller.address, nowhere, 1, flags=OPENING)
-        balancer.take_packet(packet)
+        balancer.handle_packet(packet)
         network.run(0.1)
         assert caller.resets == 0
 
     def test_another_pool_refuses(self) -> None:
-        """A reused address does not serve the former pool's flows.
+        """Guards against new flows at a server of another pool.
 
-        A server is gone and its address belongs to a server of another pool.
-        Balancers that do not know it yet send it new flows of the former one.
+        A server is gone and its address now belongs to a server of another
+        pool.  Balancers that do not know this yet send it new flows of the
+        former pool.
         """
         network, balancer = _fleet(agents=1)
         reused = network.agents[0]
@@ -310,7 +311,7 @@
 
 
 class TestFullServer:
-    """A server that hands a new flow back is not the end of it."""
+    """A new flow that a server returns is passed on."""
 
     def test_another_one_takes_it(self) -> None:
         network, balancer = _fleet(agents=3)
--- a/redwingstream/packets/tests/test_overload.py
+++ b/redwingstream/packets/tests/test_overload.py
@@ -1,7 +1,7 @@
-"""Pattern: callers ask for a tenth more than the servers of a pool can run.
+"""Overload: requests exceed the capacity of a pool by a tenth.
 
-Most of it comes on flows that are open already, which nobody can refuse; what
-is decided is which new flows wait, and for how long.
+Most requests arrive on open flows, which cannot be refused; agents can only
+decide which new flows wait, and for how long.
 """
 
 import random
@@ -17,16 +17,16 @@
 OFFERED = 1.1
 OPEN_FLOWS = 40
 SHARE_OF_OPEN_FLOWS = 0.75
-LASTS = 6.0
+DURATION = 6.0
 
 
-def _pressed(seed: int) -> list[Caller]:
-    """Return the callers of new flows while a pool is pressed."""
+def _overloaded(seed: int) -> list[Caller]:
+    """Return the callers of new flows while a pool is overloaded."""
     network = Network()
     for number in range(SERVERS):
         agent = network.add_agent(f'10.1.0.{number + 1}')
         agent.server.slots = 1
-        agent.server.run = RUN
+        agent.server.run_seconds = RUN
         agent.context.timeout_by_service = {SERVICE: TIMEOUT}
         agent.report()
     balancer = network.add_balancer('10.1.0.100')
@@ -36,7 +36,7 @@
         network.run(0.1)
     callers: list[Caller] = []
     chance = random.Random(seed)
-    end = network.now + LASTS
+    end = network.now + DURATION
     while network.now < end:
         if chance.random() < SHARE_OF_OPEN_FLOWS:
             chance.choice(feeds).ask(balancer)
@@ -49,21 +49,21 @@
 
 
 @pytest.mark.parametrize('seed', range(4))
-class TestPressedPool:
-    """Who is served is served soon; the others are told at once."""
+class TestOverloadedPool:
+    """New flows are accepted soon or refused at once."""
 
-    def test_nobody_is_taken_after_the_target(self, seed) -> None:
-        """Guards against a line in which all wait until it is too late."""
+    def test_no_flow_is_accepted_after_the_target(self, seed) -> None:
+        """Guards against queues in which all flows wait for too long."""
         accepted = [
             caller.waited
-            for caller in _pressed(seed)
+            for caller in _overloaded(seed)
             if caller.accepted is not None
         ]
         assert max(accepted) <= TARGET
 
-    def test_nobody_is_left_without_a_word(self, seed) -> None:
-        """Guards against callers that wait for nothing until they give up."""
+    def test_every_flow_is_answered(self, seed) -> None:
+        """Guards against callers without any answer until they give up."""
         assert not any(
             caller.accepted is None and not caller.resets
-            for caller in _pressed(seed)
+            for caller in _overloaded(seed)
         )
--- a/redwingstream/packets/tests/test_waiting.py
+++ b/redwingstream/packets/tests/test_waiting.py
@@ -1,10 +1,10 @@
-"""New flows that wait a moment for a server.
+"""New flows that wait for a server.
 
-The pattern: all instances lose power together and come back within a second.
-Every server is cold for two seconds and may be given five new flows a second,
-while callers open 40 to 200 a second.  A caller that is refused tries again at
-once, and has used up its three tries within milliseconds; one that waits is
-served as soon as a server is warm.
+All instances lose power together and return within a second.  Every server is
+cold for two seconds and may receive five new flows a second, while callers open
+40 to 200 a second.  A caller that is refused retries immediately and uses up
+its three attempts within milliseconds; one that waits is served as soon as a
+server is warm.
 """
 
 from redwingstream.directory.messages import Readiness
@@ -18,8 +18,8 @@
     Network,
 )
 
-# What a cold server may get within any second: a rate of 0, a factor of 1.5
-# and a slack of 5, as both of the users' deployments state them.
+# Maximum number of new flows of a cold server within any second: a rate of 0, a
+# factor of 1.5 and a slack of 5, as in both of the users' deployments.
 COLD_ALLOWED = 5
 
 
@@ -37,9 +37,9 @@
 
 
 class TestColdServer:
-    """A cold server gets what it can bear; the rest waits or is refused."""
+    """A cold server receives limited flows; others wait or are refused."""
 
-    def test_never_more_than_it_bears(self) -> None:
+    def test_never_exceeds_its_limit(self) -> None:
         network, balancer = _one_server()
         agent = network.agents[0]
         agent.report(cold_for=3)
@@ -49,11 +49,11 @@
         assert _most_within(agent.server.opened_at, 1) <= COLD_ALLOWED
         assert len(agent.server.opened_at) >= 2 * COLD_ALLOWED
 
-    def test_flows_wait_for_its_end(self) -> None:
-        """A caller that comes shortly before a server is warm is served.
+    def test_flows_wait_until_it_is_warm(self) -> None:
+        """Guards against refusing flows shortly before a server is warm.
 
-        The server is warm in 0.5 s and has had its five flows.  The next
-        callers are not refused: they wait half a second.
+        The server is warm in 0.5 s and has received its five flows.  The next
+        callers wait half a second.
         """
         network, balancer = _one_server()
         cold_for = 0.5
@@ -68,7 +68,7 @@
         waited = max(caller.waited for caller in callers)
         assert waited < cold_for + 0.1
 
-    def test_what_cannot_be_served_in_time_is_refused_at_once(self) -> None:
+    def test_flows_that_would_wait_too_long_are_refused(self) -> None:
         network, balancer = _one_server()
         network.agents[0].report(cold_for=10)
         callers = [
@@ -83,7 +83,7 @@
             caller.accepted is None and not caller.resets for caller in callers
         )
 
-    def test_nobody_waits_longer_than_said(self) -> None:
+    def test_no_flow_waits_too_long(self) -> None:
         network, balancer = _one_server()
         network.agents[0].report(cold_for=10)
         callers = [
@@ -101,15 +101,15 @@
     """An agent that has just started waits for its server's first report."""
 
     def test_flows_wait_for_the_report(self) -> None:
-        """Callers are served when all agents were killed together.
+        """Guards against refusals after all agents were restarted together.
 
-        Every agent has just been restarted, none has heard its server, and
-        the first report comes within the report interval.
+        No agent has received a report of its server yet, and the first report
+        arrives within the report interval.
         """
         network, balancer = _one_server()
         agent = network.agents[0]
         agent.start()
-        agent.is_mute = True
+        agent.is_not_reporting = True
         network.run(REPORT_INTERVAL - 0.5)
         caller = Caller(network, '100.64.0.1', 1000).open(balancer)
         network.run(0.4)
@@ -122,17 +122,17 @@
     def test_not_when_the_report_is_overdue(self) -> None:
         network, balancer = _one_server()
         network.agents[0].start()
-        network.agents[0].is_mute = True
+        network.agents[0].is_not_reporting = True
         network.run(2 * REPORT_INTERVAL)
         caller = Caller(network, '100.64.0.1', 1000).open(balancer)
         network.run(0.1)
         assert caller.resets == 1
 
-    def test_a_server_that_then_drains_gets_none(self) -> None:
+    def test_not_when_the_server_is_draining(self) -> None:
         network, balancer = _one_server()
         agent = network.agents[0]
         agent.start()
-        agent.is_mute = True
+        agent.is_not_reporting = True
         network.run(REPORT_INTERVAL - 0.3)
         caller = Caller(network, '100.64.0.1', 1000).open(balancer)
         network.run(0.1)
@@ -143,13 +143,13 @@
 
 
 class TestCopies:
-    """Copies of a packet that waits change nothing."""
+    """Copies of an opening packet that waits have no effect."""
 
     def test_one_flow_is_opened(self) -> None:
         network, balancer = _one_server()
         agent = network.agents[0]
         agent.start()
-        agent.is_mute = True
+        agent.is_not_reporting = True
         network.run(REPORT_INTERVAL - 0.8)
         caller = Caller(network, '100.64.0.1', 1000).open(balancer)
         network.run(0.7)
@@ -162,7 +162,7 @@
         network, balancer = _one_server()
         agent = network.agents[0]
         agent.start()
-        agent.is_mute = True
+        agent.is_not_reporting = True
         network.run(REPORT_INTERVAL - 0.8)
         Caller(network, '100.64.0.1', 1000).open(balancer)
         network.run(0.7)
@@ -192,19 +192,19 @@
 
 
 class TestCallersThatGaveUp:
-    """Flows whose callers are gone are no load."""
+    """Flows whose callers are gone do not count as load."""
 
     def test_others_are_served(self) -> None:
-        """Callers are served although those before them have given up.
+        """Guards against an idle server that appears busy.
 
-        A crowd of callers opens flows and goes away without a request.  A
-        second later another one comes.  If the first ones counted as load
-        until they time out, the server would look busy with nothing to do.
+        Several callers open flows and leave without a request.  A second later
+        another caller arrives.  If the first flows counted as load until they
+        time out, it would be refused.
         """
         network, balancer = _one_server()
         for number in range(12):
             gone = Caller(network, '100.64.0.1', 1000 + number).open(balancer)
-            gone.asks_by = None
+            gone.request_balancer = None
         network.run(1)
         caller = Caller(network, '100.64.0.2', 1).open(balancer)
         network.run(0.1)
--- a/redwingstream/packets/tests/test_zones.py
+++ b/redwingstream/packets/tests/test_zones.py
@@ -1,9 +1,9 @@
-"""Pattern: zones with unequal load, and bytes between them that cost."""
+"""Zones with unequal load, where traffic between zones is costly."""
 
 import pytest
 
 from redwingstream.openings.expectation import BUSY_WAIT_FRACTION
-from redwingstream.packets.admitting import ZONE_WAIT
+from redwingstream.packets.new_flows import MAX_ZONE_WAIT
 from redwingstream.packets.tests.network import (
     HOP,
     SERVICE,
@@ -25,7 +25,7 @@
 def _add_agent(network: Network, host: str, zone: str) -> AgentNode:
     agent = network.add_agent(host, zone)
     agent.server.slots = 1
-    agent.server.run = RUN
+    agent.server.run_seconds = RUN
     agent.context.timeout_by_service = {SERVICE: TIMEOUT}
     agent.report()
     return agent
@@ -58,16 +58,16 @@
 
 
 class TestOwnZoneFirst:
-    """A short wait is taken in the own zone; a long one is not."""
+    """A flow waits briefly in its own zone rather than leave it."""
 
     def test_behind_one_request(self, network, balancer, near, far) -> None:
-        """Guards against answers that cross zones to save a moment."""
+        """Guards against traffic between zones that saves only a short wait."""
         _open(network, balancer, 2)
         assert len(near.server.opened_at) == 2
         assert not far.server.opened_at
 
     def test_not_behind_several(self, network, balancer, near, far) -> None:
-        """Guards against a line in one zone beside servers with room."""
+        """Guards against queues in one zone while others have idle servers."""
         _open(network, balancer, 4)
         assert far.server.opened_at
 
@@ -86,4 +86,4 @@
         assert len(far.server.opened_at) == 2
 
     def test_the_wait_is_short_beside_the_longest(self) -> None:
-        assert ZONE_WAIT <= TIMEOUT * BUSY_WAIT_FRACTION / 2
+        assert MAX_ZONE_WAIT <= TIMEOUT * BUSY_WAIT_FRACTION / 2
--- a/redwingstream/packets/trust.py
+++ b/redwingstream/packets/trust.py
@@ -1,4 +1,4 @@
-"""Which agents a balancer doubts because they did not answer."""
+"""Agents that a balancer doubts because they did not answer."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -9,34 +9,37 @@
 from redwingstream.packets.flow import Address, text_of
 
 DOUBT_SECONDS = 2
-"""For so long an agent that did not answer comes last, unless it answers a
-ping before; afterwards it is tried again."""
+"""Seconds for which an agent that did not answer is in doubt and other agents
+are preferred, unless it answers a ping earlier; then it is tried again."""
 
 PING_AFTER = 0.25
-"""Seconds without a word after a packet was sent until an agent is asked; an
+"""Seconds without an answer to a packet after which an agent is pinged; an
 answer takes some milliseconds."""
 
 UNANSWERED_PINGS = 2
-"""Pings without an answer after which an agent is in doubt; one may be lost."""
+"""Number of unanswered pings after which an agent is in doubt; a single one may
+have been lost."""
 
 MAX_PINGS = 64
-"""Pings at one time, so that their cost does not grow with the fleet."""
+"""Maximum number of pings sent at a time, so that their cost does not grow with
+the number of agents."""
 
 
 @attrs.define
 class _Contact:
-    """What a balancer has had to do with one agent.
+    """Exchange of packets between a balancer and one agent.
 
     Parameters
     ----------
     sent_at : float
-        When it was last sent something that calls for a word, or pinged.
+        Time in seconds of the earliest packet that the agent has not answered,
+        or of the last ping.
     heard_at : float
-        When it was last heard.
+        Time in seconds at which the last envelope of the agent arrived.
     pings : int
-        Pings since then.
+        Number of pings sent since then.
     doubted_until : float
-        Until when it comes last.
+        Time in seconds at which the doubt about the agent ends.
     """
 
     sent_at: float = float('-inf')
@@ -46,17 +49,18 @@
 
 
 class Trust:
-    """What a balancer thinks of the agents that it sends packets to.
+    """Which agents answer the packets that a balancer sends them.
 
     Parameters
     ----------
     log : callable
-        Takes events.
+        Writes a log event.
 
     Notes
     -----
-    The control instances find an agent silent after 1.6 s.  A caller of a new
-    flow gives up after 1.4 s, so a balancer goes by what it sees itself.
+    The control instances report an agent as silent after 1.6 s.  The caller of
+    a new flow gives up after 1.4 s, so a balancer also uses its own
+    observations.
     """
 
     def __init__(self, log: Callable[[Any], None]) -> None:
@@ -68,14 +72,14 @@
         contact = self._contact_by_address.get(address)
         return contact is not None and now < contact.doubted_until
 
-    def note_sent(self, address: Address, now: float) -> None:
-        """An agent was sent a packet."""
+    def record_sent(self, address: Address, now: float) -> None:
+        """Record that a packet was sent to an agent."""
         contact = self._contact_by_address.setdefault(address, _Contact())
         if contact.sent_at <= contact.heard_at:
             contact.sent_at = now
 
-    def note_heard(self, address: Address, now: float) -> None:
-        """An agent has said something."""
+    def record_heard(self, address: Address, now: float) -> None:
+        """Record that an agent has sent an envelope."""
         contact = self._contact_by_address.setdefault(address, _Contact())
         contact.heard_at = now
         contact.pings = 0
@@ -84,17 +88,17 @@
             self._log(events.AgentTrusted(text_of(address)))
 
     def heard_since(self, address: Address, since: float) -> bool:
-        """Whether an agent has said something since a time."""
+        """Whether an agent has sent an envelope since a point in time."""
         contact = self._contact_by_address.get(address)
         return contact is not None and contact.heard_at >= since
 
     def doubt(self, address: Address, now: float) -> None:
-        """Doubt an agent that did not answer for a new flow."""
+        """Doubt an agent that did not answer an opening packet."""
         contact = self._contact_by_address.setdefault(address, _Contact())
         self._begin_doubt(address, contact, now)
 
-    def due(self, now: float) -> list[Address]:
-        """Return the agents that are to be pinged, and count the pings."""
+    def due_pings(self, now: float) -> list[Address]:
+        """Return the agents to be pinged now, and count the pings as sent."""
         due = [
             (address, contact)
             for address, contact in self._contact_by_address.items()
@@ -108,7 +112,7 @@
         return [pinged for pinged, _ in due[:MAX_PINGS]]
 
     def retain_only(self, known: Iterable[Address]) -> None:
-        """Forget agents that are not among those known."""
+        """Remove agents that are not among the known ones."""
         gone = self._contact_by_address.keys() - set(known)
         for address in gone:
             self._contact_by_address.pop(address)
