--- a/redwingstream/packets/agent_context.py
+++ b/redwingstream/packets/agent_context.py
@@ -46,7 +46,35 @@
 
 @attrs.define
 class AgentPacketCounters:
-    """Counts of packets and flows handled by an agent since it started."""
+    """Counts of packets and flows handled by an agent since it started.
+
+    Parameters
+    ----------
+    packets_in : int
+        Envelopes received from balancers and agents.
+    packets_out : int
+        Packets received from the server.
+    opened : int
+        New flows given to the server.
+    accepted : int
+        New flows that the server has accepted.
+    passed_on : int
+        New flows passed on to another agent.
+    held : int
+        New flows that have waited for the server.
+    handed_back : int
+        Packets that the server has returned.
+    found : int
+        Flows found at this agent whose carrier was not known.
+    not_found : int
+        Lookups that did not find the carrier of a flow.
+    lost : int
+        Flows that the server has held and no longer holds.
+    malformed : int
+        Datagrams that could not be decoded.
+    foreign : int
+        New flows of another pool.
+    """
 
     packets_in: int = 0
     packets_out: int = 0
--- a/redwingstream/packets/agent_forwarder.py
+++ b/redwingstream/packets/agent_forwarder.py
@@ -106,10 +106,10 @@
         self, carried: CarriedFlow, head: Head, now: float
     ) -> None:
         context = self.context
-        is_waited_for = (
+        is_answer_awaited = (
             carried.has_asked and carried.wait_started_at is not None
         )
-        if not is_waited_for or carried.is_ending:
+        if not is_answer_awaited or carried.is_ending:
             return
         if head.size and context.gate.failures.record_served(now):
             context.log(events.ServerTrusted(flow_text(carried.flow)))
--- a/redwingstream/packets/balancer_forwarder.py
+++ b/redwingstream/packets/balancer_forwarder.py
@@ -50,7 +50,27 @@
 
 @attrs.define
 class BalancerPacketCounters:
-    """Counts of packets and flows handled by a balancer since it started."""
+    """Counts of packets and flows handled by a balancer since it started.
+
+    Parameters
+    ----------
+    packets : int
+        Packets received from callers.
+    opened : int
+        Opening packets offered to an agent without a hint.
+    copies : int
+        Opening packets that are copies.
+    by_hint : int
+        Packets of open flows sent by a hint.
+    by_home : int
+        Packets of open flows sent to the home.
+    not_carried : int
+        Answers that no agent of a pool carries a flow.
+    declared_dead : int
+        Flows reset because no server holds them.
+    malformed : int
+        Datagrams that could not be decoded.
+    """
 
     packets: int = 0
     opened: int = 0
@@ -200,7 +220,7 @@
         self.counters.copies += bool(head.acknowledged)
         hint = self.hints.get(flow, now) if head.acknowledged else None
         if hint is not None:
-            return [self._opening_to(hint, packet, pool, now)]
+            return [self._opening_datagram(hint, packet, pool, now)]
         if has_caller_given_up(head.acknowledged, route.rules.timeout):
             return self.refusals.drop(head, 'its caller has given up')
         return self._offer_flow(head, packet, pool, now)
@@ -225,9 +245,9 @@
                 len(tried),
             ),
         )
-        return [self._opening_to(target, packet, pool, now)]
+        return [self._opening_datagram(target, packet, pool, now)]
 
-    def _opening_to(
+    def _opening_datagram(
         self, target: Address, packet: bytes, pool: str, now: float
     ) -> ToPeer:
         envelope = Envelope(
@@ -248,7 +268,7 @@
         hint = self.hints.get(flow, now)
         if hint is not None:
             self.counters.by_hint += 1
-            return [self._ongoing_to(hint, packet)]
+            return [self._ongoing_datagram(hint, packet)]
         if self.routes.may_become_reachable(head.target, now):
             self.early.add(packet, now)
             return []
@@ -261,9 +281,9 @@
             return self.refusals.drop(head, 'no agent')
         self.counters.by_home += 1
         self.trust.record_sent(home, now)
-        return [self._ongoing_to(home, packet)]
+        return [self._ongoing_datagram(home, packet)]
 
-    def _ongoing_to(self, target: Address, packet: bytes) -> ToPeer:
+    def _ongoing_datagram(self, target: Address, packet: bytes) -> ToPeer:
         envelope = Envelope(
             Kind.ONGOING,
             packet,
--- a/redwingstream/packets/events.py
+++ b/redwingstream/packets/events.py
@@ -27,7 +27,17 @@
 
 @event
 class FlowDropped:
-    """A packet was dropped without an answer."""
+    """A packet was dropped without an answer.
+
+    Parameters
+    ----------
+    flow : str
+        Addresses of the flow, as ``caller>service``.
+    reason : str
+        Reason why it was dropped.
+    revision : int
+        Revision of the tables in force.
+    """
 
     flow: str
     reason: str
@@ -36,7 +46,23 @@
 
 @event
 class FlowSent:
-    """A balancer sent a new flow to an agent."""
+    """A balancer sent a new flow to an agent.
+
+    Parameters
+    ----------
+    flow : str
+        Addresses of the flow, as ``caller>service``.
+    pool : str
+        Pool that serves the flow.
+    agent : str
+        Address of the agent.
+    revision : int
+        Revision of the tables in force.
+    copy : int
+        Number of packets that the caller has sent for this flow before.
+    tried : int
+        Number of agents that were sent the flow before.
+    """
 
     flow: str
     pool: str
@@ -48,7 +74,23 @@
 
 @event
 class FlowOpened:
-    """An agent gave a new flow to its server."""
+    """An agent gave a new flow to its server.
+
+    Parameters
+    ----------
+    flow : str
+        Addresses of the flow, as ``caller>service``.
+    origin : str
+        Address of the balancer that sent the flow.
+    hops : int
+        Number of agents that passed the flow on.
+    waiting : int
+        Number of flows that await an answer of the server.
+    flows : int
+        Number of flows that the server holds.
+    is_cold : bool
+        True if the server is cold.
+    """
 
     flow: str
     origin: str
@@ -60,7 +102,21 @@
 
 @event
 class FlowPassedOn:
-    """An agent passed a new flow on to another agent."""
+    """An agent passed a new flow on to another agent.
+
+    Parameters
+    ----------
+    flow : str
+        Addresses of the flow, as ``caller>service``.
+    reason : str
+        Reason why the agent's server was not given the flow.
+    target : str
+        Address of the other agent.
+    hops : int
+        Number of agents that passed the flow on before.
+    waiting : int
+        Number of flows that await an answer of the agent's server.
+    """
 
     flow: str
     reason: str
@@ -71,7 +127,19 @@
 
 @event
 class FlowHeld:
-    """A new flow waits at an agent until its server can accept it."""
+    """A new flow waits at an agent until its server can accept it.
+
+    Parameters
+    ----------
+    flow : str
+        Addresses of the flow, as ``caller>service``.
+    reason : str
+        Reason why the server is not given the flow yet.
+    expected_wait : float
+        Expected wait in seconds.
+    waiting : int
+        Number of new flows that wait at the agent.
+    """
 
     flow: str
     reason: str
@@ -81,7 +149,15 @@
 
 @event
 class FlowLost:
-    """The server beside an agent no longer holds a flow that it held."""
+    """The server beside an agent no longer holds a flow that it held.
+
+    Parameters
+    ----------
+    flow : str
+        Addresses of the flow, as ``caller>service``.
+    age : float
+        Seconds since the flow was opened, or since the agent learned of it.
+    """
 
     flow: str
     age: float
@@ -89,7 +165,17 @@
 
 @event
 class FlowFound:
-    """A flow whose carrier was not known was found at this agent."""
+    """A flow whose carrier was not known was found at this agent.
+
+    Parameters
+    ----------
+    flow : str
+        Addresses of the flow, as ``caller>service``.
+    hops : int
+        Number of agents that passed the packet on.
+    home : str
+        Address of the agent that is notified as the home of the flow.
+    """
 
     flow: str
     hops: int
@@ -98,7 +184,17 @@
 
 @event
 class FlowNotFound:
-    """None of the agents that answered a lookup carries the flow."""
+    """None of the agents that answered a lookup carries the flow.
+
+    Parameters
+    ----------
+    flow : str
+        Addresses of the flow, as ``caller>service``.
+    visited : int
+        Number of agents that do not carry the flow.
+    unanswered : int
+        Number of agents that did not answer.
+    """
 
     flow: str
     visited: int
@@ -107,7 +203,17 @@
 
 @event
 class FlowDeclaredDead:
-    """A balancer reset a flow; all agents were queried, and none carries it."""
+    """A balancer reset a flow; all agents were queried, and none carries it.
+
+    Parameters
+    ----------
+    flow : str
+        Addresses of the flow, as ``caller>service``.
+    revision : int
+        Revision of the tables in force.
+    confirmed_age : float
+        Seconds since the tables were last confirmed to be the newest ones.
+    """
 
     flow: str
     revision: int
@@ -136,7 +242,15 @@
 
 @event
 class AgentDoubted:
-    """An agent did not answer a balancer; other agents are preferred."""
+    """An agent did not answer a balancer; other agents are preferred.
+
+    Parameters
+    ----------
+    agent : str
+        Address of the agent.
+    silent_for : float
+        Seconds since its last envelope arrived.
+    """
 
     agent: str
     silent_for: float
--- a/redwingstream/packets/open_flows.py
+++ b/redwingstream/packets/open_flows.py
@@ -291,8 +291,8 @@
 
 def _is_other_flow(context: AgentContext, opening: bytes, head: Head) -> bool:
     """Whether a packet belongs to another flow than the opening packet."""
-    begun = context.codec.read(opening).sequence
-    return (head.sequence - begun) & SEQUENCE_MASK > MAX_FLOW_BYTES
+    first_sequence = context.codec.read(opening).sequence
+    return (head.sequence - first_sequence) & SEQUENCE_MASK > MAX_FLOW_BYTES
 
 
 def _may_pass_to(known: Address, envelope: Envelope) -> bool:
--- a/redwingstream/packets/ranking.py
+++ b/redwingstream/packets/ranking.py
@@ -16,12 +16,12 @@
 from redwingstream.packets.flow import FlowId
 
 _FLOW_BYTES = 12
-_POOL_SEED_BITS = 0xFFFFFFFF
+_POOL_HASH_MASK = 0xFFFFFFFF
 
 
 def pool_hash(pool: str) -> int:
     """Return the hash that identifies a pool in an envelope."""
-    return xxhash.xxh3_64_intdigest(pool.encode()) & _POOL_SEED_BITS
+    return xxhash.xxh3_64_intdigest(pool.encode()) & _POOL_HASH_MASK
 
 
 def rank_agents(
--- a/redwingstream/packets/tests/network.py
+++ b/redwingstream/packets/tests/network.py
@@ -38,14 +38,16 @@
 POOL = 'feed'
 SERVICE = address_of('198.18.0.1', 443)
 ROUTE = Route('198.18.0.1:443', POOL)
-HOP = 0.001
+HOP = 0.001  # seconds from one process to another
 IDLE_TIMEOUT = 15.0
-REPORT_INTERVAL = 1.2
+REPORT_INTERVAL = 1.2  # seconds between two reports of a server
+# Seconds after the first packet at which a caller sends copies, and after which
+# it gives up.
 COPIES_AFTER = (0.2, 0.6)
-PATIENCE = 1.4
-TICK = 0.02
+CALLER_TIMEOUT = 1.4
+TICK = 0.02  # seconds between two runs of the periodic work
 CONTROL = address_of('10.9.0.1', 7720)
-CONTROL_INTERVAL = 0.4
+CONTROL_INTERVAL = 0.4  # seconds between two answers of control
 CODEC = PlainCodec()
 
 
@@ -67,6 +69,20 @@
         True if it returns opening packets.
     fails : callable
         Returns True if the next answer is to be a reset.
+    sequence : int
+        Sequence number of the last accepted flow.
+    sequence_by_flow : dict
+        Sequence numbers of all accepted flows.
+    open_flows : set
+        Flows on which a packet of the caller has arrived.
+    opened_at : list of float
+        Time of each opening packet that was not a copy.
+    taken : list of Packet
+        Packets received on open flows.
+    running : int
+        Number of requests in progress.
+    queue : list of Packet
+        Requests that wait for a slot.
     """
 
     node: 'AgentNode'
@@ -151,7 +167,15 @@
 
 
 class AgentNode:
-    """A simulated agent and the server beside it."""
+    """A simulated agent and the server beside it.
+
+    Attributes
+    ----------
+    alive : bool
+        False if the agent is stopped.
+    is_not_reporting : bool
+        True if its server sends no periodic reports.
+    """
 
     def __init__(
         self, network: 'Network', host: str, zone: str, pool: str
@@ -243,7 +267,19 @@
 
 
 class BalancerNode:
-    """A simulated balancer."""
+    """A simulated balancer.
+
+    Attributes
+    ----------
+    alive : bool
+        False if the balancer is stopped.
+    polls_control : bool
+        True if it receives answers of the control instance.
+    control_has_leader : bool
+        True if these answers confirm the tables.
+    control_has_heard_all : bool
+        True if the control instance has received records of all agents.
+    """
 
     def __init__(self, network: 'Network', host: str, zone: str) -> None:
         self.network = network
@@ -314,7 +350,20 @@
 
 
 class Caller:
-    """A simulated caller with one flow."""
+    """A simulated caller with one flow.
+
+    Attributes
+    ----------
+    accepted : int or None
+        Sequence number with which a server has accepted the flow.
+    resets, answers : int
+        Number of resets and of answers received.
+    began_at, accepted_at, reset_at : float or None
+        Time in seconds of the first packet, of the acceptance and of the last
+        reset.
+    request_balancer : BalancerNode or None
+        Balancer that is sent a request once the flow is accepted.
+    """
 
     def __init__(self, network: 'Network', host: str, port: int) -> None:
         self.network = network
@@ -380,7 +429,17 @@
 
 
 class Network:
-    """All simulated processes, and the queue of due actions."""
+    """All simulated processes, and the queue of due actions.
+
+    Attributes
+    ----------
+    now : float
+        Virtual time in seconds.
+    events : list
+        Log events of all processes.
+    is_lost : callable
+        Whether a datagram from one address to another is lost.
+    """
 
     def __init__(self) -> None:
         self.now = 0.0
--- a/redwingstream/packets/tests/test_any_input.py
+++ b/redwingstream/packets/tests/test_any_input.py
@@ -31,38 +31,38 @@
 SOURCE = address_of('10.9.9.9', 9)
 
 
-def _mutated(chance: random.Random, whole: bytes) -> bytes:
+def _mutated(rng: random.Random, whole: bytes) -> bytes:
     changed = bytearray(whole)
-    for _ in range(chance.randrange(4)):
-        changed[chance.randrange(len(changed))] = chance.randrange(256)
-    return bytes(changed[: chance.randrange(len(changed) + 1)])
+    for _ in range(rng.randrange(4)):
+        changed[rng.randrange(len(changed))] = rng.randrange(256)
+    return bytes(changed[: rng.randrange(len(changed) + 1)])
 
 
-def _packets(chance: random.Random) -> Iterator[bytes]:
+def _packets(rng: random.Random) -> Iterator[bytes]:
     for number in range(COUNT):
         caller = address_of('100.64.0.1', number % 50000)
-        flags = chance.choice((0, 1, 2, 4, 8, 16, 17, 255))
+        flags = rng.choice((0, 1, 2, 4, 8, 16, 17, 255))
         packet = Packet(
-            caller, SERVICE, 1, chance.randrange(3), number, flags=flags
+            caller, SERVICE, 1, rng.randrange(3), number, flags=flags
         )
-        if chance.getrandbits(1):
+        if rng.getrandbits(1):
             yield packet.pack()
         else:
-            yield _mutated(chance, packet.pack())
+            yield _mutated(rng, packet.pack())
 
 
-def _envelopes(chance: random.Random) -> Iterator[bytes]:
-    for packet in _packets(chance):
+def _envelopes(rng: random.Random) -> Iterator[bytes]:
+    for packet in _packets(rng):
         envelope = Envelope(
-            chance.choice(list(Kind)),
+            rng.choice(list(Kind)),
             packet,
             SOURCE,
             SOURCE,
             pool_hash(POOL),
-            visited=(SOURCE,) * chance.randrange(4),
+            visited=(SOURCE,) * rng.randrange(4),
         )
         packed = pack_envelope(envelope)
-        yield packed if chance.getrandbits(1) else _mutated(chance, packed)
+        yield packed if rng.getrandbits(1) else _mutated(rng, packed)
 
 
 @pytest.fixture
@@ -145,12 +145,12 @@
     """Encrypted frames between control instances, agents and balancers."""
 
     def test_only_whole_frames_are_opened(self) -> None:
-        chance = random.Random(5)
+        rng = random.Random(5)
         codec = FrameCodec(bytes(range(32)))
         frame = FrameCodec(bytes(32)).seal(Inquiry(1, 2, 3, 4))
         for _ in range(COUNT):
             with pytest.raises(WireError):
-                codec.open(_mutated(chance, frame))
+                codec.open(_mutated(rng, frame))
 
 
 class TestBoundedTable:
--- a/redwingstream/packets/tests/test_cold_pools.py
+++ b/redwingstream/packets/tests/test_cold_pools.py
@@ -24,12 +24,12 @@
         agent.context.timeout_by_service = {SERVICE: TIMEOUT}
         agent.report(cold_for=COLD_FOR)
     balancer = network.add_balancer('10.1.0.100')
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     callers = []
     while network.now < COLD_FOR:
         caller = Caller(network, '100.64.0.1', 1000 + len(callers))
         callers.append(caller.open(balancer))
-        network.run(chance.expovariate(RATE))
+        network.run(rng.expovariate(RATE))
     return network, callers
 
 
--- a/redwingstream/packets/tests/test_dead_flows.py
+++ b/redwingstream/packets/tests/test_dead_flows.py
@@ -94,7 +94,7 @@
     """No server holds the flow, and all agents can be queried."""
 
     def test_is_reset_soon(self) -> None:
-        """Guards against requests that time out on a flow that is scenario.
+        """Guards against requests that time out on a flow that is lost.
 
         The server of the flow, its agent and the balancer were restarted after
         a power loss.  Without a reset the caller retransmits its request on the
--- a/redwingstream/packets/tests/test_failing_servers.py
+++ b/redwingstream/packets/tests/test_failing_servers.py
@@ -68,8 +68,8 @@
 
 
 def _half() -> Callable[[], bool]:
-    chance = random.Random(3)
-    return lambda: bool(chance.getrandbits(1))
+    rng = random.Random(3)
+    return lambda: bool(rng.getrandbits(1))
 
 
 class TestOneFails:
--- a/redwingstream/packets/tests/test_open_flows.py
+++ b/redwingstream/packets/tests/test_open_flows.py
@@ -76,14 +76,14 @@
         added = [
             network.add_agent(f'10.1.1.{number + 1}') for number in range(8)
         ]
-        handed = [agent.context.counters for agent in added]
+        added_counters = [agent.context.counters for agent in added]
         other = network.add_balancer('10.1.0.101')
         answers = caller.answers
         caller.ask(other)
         network.run(1)
         assert caller.answers == answers + 1
         assert carrier.server.open_flows
-        assert not any(counters.handed_back for counters in handed)
+        assert not any(counters.handed_back for counters in added_counters)
 
     def test_one_packet_shows_that_a_server_does_not_hold_it(self) -> None:
         """Guards against delivering each packet of a lost flow to a server.
--- a/redwingstream/packets/tests/test_opening.py
+++ b/redwingstream/packets/tests/test_opening.py
@@ -104,7 +104,7 @@
     """An agent that does not answer delays a caller by one copy."""
 
     def test_the_copy_goes_to_another_agent(self) -> None:
-        """Guards against outgoing copies to an agent that does not answer.
+        """Guards against copies sent to an agent that does not answer.
 
         The instance of the agent has lost power, and no other process has
         noticed.  The first opening packet is lost; the copy after 200 ms must
--- a/redwingstream/packets/tests/test_overload.py
+++ b/redwingstream/packets/tests/test_overload.py
@@ -35,15 +35,15 @@
         feeds.append(Caller(network, '100.64.0.2', 1000 + port).open(balancer))
         network.run(0.1)
     callers: list[Caller] = []
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     end = network.now + DURATION
     while network.now < end:
-        if chance.random() < SHARE_OF_OPEN_FLOWS:
-            chance.choice(feeds).ask(balancer)
+        if rng.random() < SHARE_OF_OPEN_FLOWS:
+            rng.choice(feeds).ask(balancer)
         else:
             caller = Caller(network, '100.64.0.1', 1000 + len(callers))
             callers.append(caller.open(balancer))
-        network.run(chance.expovariate(OFFERED * SERVERS / RUN))
+        network.run(rng.expovariate(OFFERED * SERVERS / RUN))
     network.run(2)
     return callers
 
--- a/redwingstream/packets/tests/test_zones.py
+++ b/redwingstream/packets/tests/test_zones.py
@@ -85,5 +85,5 @@
         _open(network, balancer, 2)
         assert len(far.server.opened_at) == 2
 
-    def test_the_wait_is_short_beside_the_longest(self) -> None:
+    def test_zone_wait_is_short_compared_to_the_longest(self) -> None:
         assert MAX_ZONE_WAIT <= TIMEOUT * BUSY_WAIT_FRACTION / 2
