--- a/asv_bench/admission_share.py
+++ b/asv_bench/admission_share.py
@@ -13,7 +13,10 @@
 
 from asv_bench.admission_servers import COLD_FACTOR, SERVICE, WARM_UP
 from asv_bench.tables import markdown_table
-from redwingstream.admission.limit import ConcurrencyLimit, RunResult
+from redwingstream.admission.concurrency_limit import (
+    ConcurrencyLimit,
+    RunResult,
+)
 
 TRIALS = 20
 SLOTS = (2, 3)
--- a/asv_bench/memory.py
+++ b/asv_bench/memory.py
@@ -15,7 +15,7 @@
 from asv_bench import fitting, output
 from asv_bench.fleets import Fleet, FleetShape, pool_row, route_row
 from asv_bench.heartbeats import Leader
-from redwingstream.admission.choice import PeerLoads
+from redwingstream.admission.peer_choice import PeerLoads
 from redwingstream.balancer.forwarder import Forwarder
 from redwingstream.endpoints import Endpoint
 from redwingstream.flows.records import FlowKey, FlowRecord
--- a/asv_bench/packet_forwarding.py
+++ b/asv_bench/packet_forwarding.py
@@ -19,7 +19,7 @@
 from redwingstream.endpoints import Endpoint
 from redwingstream.fleet.packet_sender import PacketSender
 from redwingstream.openings.gate import Gate
-from redwingstream.openings.pacing import ColdLimit
+from redwingstream.openings.cold_limit import ColdLimit
 from redwingstream.packets.agent_forwarder import AgentForwarder
 from redwingstream.packets.envelopes import (
     Envelope,
--- a/asv_bench/wait_queue.py
+++ b/asv_bench/wait_queue.py
@@ -17,7 +17,10 @@
 import attrs
 
 from asv_bench.tables import markdown_table
-from redwingstream.admission.limit import ConcurrencyLimit, RunResult
+from redwingstream.admission.concurrency_limit import (
+    ConcurrencyLimit,
+    RunResult,
+)
 from redwingstream.agent.wait_queue import Waiter, WaitQueue
 
 SEED = 7252
--- a/properties/test_admission.py
+++ b/properties/test_admission.py
@@ -11,8 +11,11 @@
     rule,
 )
 
-from redwingstream.admission.feeds import COLD_FEEDS, FeedLimit
-from redwingstream.admission.limit import ConcurrencyLimit, RunResult
+from redwingstream.admission.feed_limit import COLD_FEEDS, FeedLimit
+from redwingstream.admission.concurrency_limit import (
+    ConcurrencyLimit,
+    RunResult,
+)
 from redwingstream.admission.tests.fake_server import FakeServer
 
 
--- a/redwingstream/admission/__init__.py
+++ b/redwingstream/admission/__init__.py
@@ -1,17 +1,17 @@
-"""Admission: each backend server gets only the work that it can bear.
+"""Admission control: each backend server gets only the load it can handle.
 
 Modules
 -------
-limit, in_flight
-    How many requests a server runs at once.
+concurrency_limit, in_flight
+    Limit on the requests that a server runs at once.
 evidence, warmth, latency
     When that limit may rise, and when a server has turned cold.
-feeds
-    How many feeds it carries, and how fast they are opened.
-choice
-    Which other agent takes what this one cannot.
-come_back
-    When a refused caller should return.
+feed_limit
+    Limit on the feeds of a server and on the rate at which they are opened.
+peer_choice
+    Choice of another agent for work that this one cannot take.
+retry_delays
+    Delay after which a refused caller should retry.
 retry_budget
-    Budget for the system's own retries.
+    Budget for retries that the system sends itself.
 """
--- a/redwingstream/admission/evidence.py
+++ b/redwingstream/admission/evidence.py
@@ -1,4 +1,9 @@
-"""Evidence that a backend server can bear more than it is given."""
+"""Evidence that a backend server can handle more concurrent requests.
+
+Requests that complete while the concurrency limit is in full use count as
+evidence.  The limit rises once there are enough of them and their latencies are
+those of a warm server.
+"""
 
 import math
 from collections import deque
@@ -6,46 +11,48 @@
 
 from redwingstream.admission.latency import LatencyReference
 
-# Completed requests, each run while the limit was in full use, that raise the
-# limit by one at the least.
-EVIDENCE = 16
-# The same while nothing is known of how long requests take on a warm server:
-# one that is slow in equal measure until it is warm shows no fall before.
-FIRST_EVIDENCE = 64
-# After each refusal that followed a raise twice as much is asked for, so that
-# a server is not asked again and again for what it cannot bear.
+# Minimum number of completed requests, each run while the limit was in full
+# use, that raise the limit by one.
+MIN_EVIDENCE = 16
+# The same while the latency of a warm server is not known: a server that is
+# uniformly slow until it is warm shows no falling latencies before.
+MIN_EVIDENCE_WITHOUT_REFERENCE = 64
+# After each refusal that followed a raise the required number is doubled, up to
+# this maximum, so that the limit is not raised again and again above what the
+# server can handle.
 MAX_EVIDENCE = 256
-# Multiple of the reference up to which a mean is that of a warm server.
+# Multiple of the reference mean up to which a mean is that of a warm server.
 _WARM_FACTOR = 1.5
-# Latencies no longer fall when the later half of a window is not below this
-# fraction of the earlier one.
-_LEVEL = 0.95
-# Without a reference that must be certain.  So the window is so long that
-# chance hides no fall: the relative standard error of each half is this at the
-# most.
-_STANDARD_ERROR = 0.15
-# And the latencies are in no order: neighbours differ as any two do.  The
-# ratio of von Neumann (mean square of neighbours' differences over the
-# variance) is 2 then, and next to 0 for a server that warms up, also when it
-# has turned cold again in between, which the halves alone may not show.
-_LEAST_RATIO = 1.2
-# A relative deviation below which order does not matter.
-_NO_DEVIATION = 0.01
-# The shortest window is so long that one warm latency before a cold start does
-# not pass for chance: of 16, that one hides the fall of the 15 after it.
+# Latencies no longer fall when the sum of the later half of a window is at
+# least this fraction of the sum of the earlier half.
+_LEVEL_FRACTION = 0.95
+# Without a reference this needs certainty.  Random variation must not hide a
+# fall, so the relative standard error of each half is limited to this value.
+_MAX_STANDARD_ERROR = 0.15
+# The latencies must also be serially uncorrelated.  The von Neumann ratio (mean
+# square of successive differences over the variance) is 2 for uncorrelated
+# latencies and close to 0 for a server that warms up, also when it has turned
+# cold again in between, which a comparison of the halves may not show.
+_MIN_VON_NEUMANN_RATIO = 1.2
+# Relative standard deviation below which correlation is not checked.
+_NEGLIGIBLE_DEVIATION = 0.01
+# Lengths of the windows that are checked, in latencies.  In a window of 16, one
+# warm latency before a cold start hides the fall of the 15 after it; the
+# shortest window is long enough that such a latency does not look like random
+# variation.
 _WINDOWS = (32, 64, 128, MAX_EVIDENCE)
 
 
 class Evidence:
-    """Completed requests since the limit last changed."""
+    """Latencies of the completed requests since the limit last changed."""
 
     def __init__(self) -> None:
         self._count = 0
-        self._needed = EVIDENCE
+        self._needed = MIN_EVIDENCE
         self._latencies: deque[float] = deque(maxlen=MAX_EVIDENCE)
 
     def add(self, latency: float) -> None:
-        """Count a request that completed while the limit was in full use."""
+        """Add a request that completed while the limit was in full use."""
         self._count += 1
         self._latencies.append(latency)
 
@@ -55,36 +62,36 @@
         Parameters
         ----------
         reference : LatencyReference
-            What a warm server takes; its mean is None while nothing is known.
+            Latency of a warm server; its mean is None while not known.
         """
         if self._count < self._needed:
             return False
         if reference.mean is None:
             has_settled = any(map(self._has_settled, _WINDOWS))
-            return has_settled and self._count >= FIRST_EVIDENCE
-        newest = self.newest(EVIDENCE)
+            return has_settled and self._count >= MIN_EVIDENCE_WITHOUT_REFERENCE
+        newest = self.newest(MIN_EVIDENCE)
         warm = _WARM_FACTOR * reference.mean * len(newest)
         return sum(newest) <= warm and _is_level(newest)
 
     def newest(self, count: int) -> list[float]:
-        """Return the latencies of the newest completed requests."""
+        """Return up to ``count`` latencies of the newest completed requests."""
         skipped = max(0, len(self._latencies) - count)
         return list(islice(self._latencies, skipped, None))
 
-    def start_anew(self) -> None:
-        """Begin to count again."""
+    def restart(self) -> None:
+        """Discard the completed requests and count from zero."""
         self._count = 0
         self._latencies.clear()
 
-    def ask_for_more(self) -> None:
-        """Begin again and ask for twice as much."""
+    def double_requirement(self) -> None:
+        """Count from zero and require twice as many completed requests."""
         self._needed = min(2 * self._needed, MAX_EVIDENCE)
-        self.start_anew()
+        self.restart()
 
     def reset(self) -> None:
-        """Begin again as for a server that nothing is known of."""
-        self._needed = EVIDENCE
-        self.start_anew()
+        """Count from zero and require the minimum, as for a new server."""
+        self._needed = MIN_EVIDENCE
+        self.restart()
 
     def _has_settled(self, window: int) -> bool:
         newest = self.newest(window)
@@ -94,20 +101,23 @@
 
 
 def _is_level(latencies: list[float]) -> bool:
-    """Whether the later half is not below the earlier one."""
+    """Whether the later half of the latencies is not below the earlier."""
     half = len(latencies) // 2
-    return sum(latencies[half:]) >= _LEVEL * sum(latencies[:half])
+    return sum(latencies[half:]) >= _LEVEL_FRACTION * sum(latencies[:half])
 
 
 def _is_random(latencies: list[float]) -> bool:
-    """Whether latencies vary little or by chance, and not too much."""
+    """Whether latencies are nearly constant, or uncorrelated and not too wide.
+
+    A spread above the maximal standard error could hide a fall.
+    """
     mean = sum(latencies) / len(latencies)
     squares = sum((latency - mean) ** 2 for latency in latencies)
     deviation = math.sqrt(squares / len(latencies))
-    if deviation <= _NO_DEVIATION * mean:
+    if deviation <= _NEGLIGIBLE_DEVIATION * mean:
         return True
-    if deviation > _STANDARD_ERROR * mean * math.sqrt(len(latencies) / 2):
+    if deviation > _MAX_STANDARD_ERROR * mean * math.sqrt(len(latencies) / 2):
         return False
     differences = (later - former for former, later in pairwise(latencies))
     successive = sum(difference**2 for difference in differences)
-    return successive >= _LEAST_RATIO * squares
+    return successive >= _MIN_VON_NEUMANN_RATIO * squares
--- a/redwingstream/admission/retry_budget.py
+++ b/redwingstream/admission/retry_budget.py
@@ -1,25 +1,25 @@
-"""Budget for the system's own retries.
+"""Budget for retries that the system sends itself.
 
-A timeout under overload makes a retry, the retry adds to the overload: without
-a budget the load can multiply with each layer that retries.
+A time-out under overload causes a retry, which adds to the overload.  Without a
+budget, each layer that retries can multiply the load.
 """
 
-# Retries for each fresh request.
+# Retries earned by each first attempt of a request.
 RETRY_FRACTION = 0.1
-# Retries that may be saved up; also what a process has to start with, so that
-# the first lost packet after a quiet time can be repeated.
+# Maximum number of accumulated retries, and the number at the start of a
+# process, so that the first lost packet after an idle time can be repeated.
 RETRY_RESERVE = 10
 
 
 class RetryBudget:
-    """Token bucket that fresh requests fill and retries empty.
+    """Token bucket that is filled by first attempts and emptied by retries.
 
     Parameters
     ----------
     fraction : float, optional
-        Retries earned by each fresh request.
+        Retries earned by each first attempt of a request.
     reserve : float, optional
-        Retries that may be saved up.
+        Maximum number of accumulated retries.
     """
 
     def __init__(
@@ -30,11 +30,11 @@
         self._earned = reserve
 
     def record_request(self) -> None:
-        """Count a request sent for the first time."""
+        """Record the first attempt of a request."""
         self._earned = min(self._reserve, self._earned + self._fraction)
 
     def try_retry(self) -> bool:
-        """Take a retry out of the budget; False means: give up instead."""
+        """Spend one retry; return False when the budget is exhausted."""
         if self._earned < 1:
             return False
         self._earned -= 1
--- a/redwingstream/admission/tests/fake_server.py
+++ b/redwingstream/admission/tests/fake_server.py
@@ -1,4 +1,4 @@
-"""A backend server on a simulated clock that falls over when overloaded."""
+"""A backend server on a simulated clock that fails when overloaded."""
 
 import heapq
 import itertools
@@ -7,30 +7,33 @@
 
 import attrs
 
-from redwingstream.admission.limit import ConcurrencyLimit, RunResult
+from redwingstream.admission.concurrency_limit import (
+    ConcurrencyLimit,
+    RunResult,
+)
 
-# Multiples of the warm latency for which a server that has turned cold without
-# a word bears the load that it had.  Nobody outside can know sooner.
-SILENT_GRACE = 3
+# Multiple of the warm latency for which a server that has turned cold without
+# announcing it still handles its former load; nobody can detect it sooner.
+SILENT_GRACE_FACTOR = 3
 
 
 @attrs.define
 class FakeServer:
-    """Bears one run at a time while cold, all its slots once warm.
+    """Handles one run at a time while cold, and all its slots once warm.
 
     It warms up by completing requests and is slower until then.  A start above
-    what it bears makes it fall over for good; nothing tells the limit so.
+    its capacity makes it fail permanently; the limit is not told of it.
 
     Parameters
     ----------
     slots : int
-        What it bears when warm.
+        Concurrent runs that it handles when warm.
     warm_up : int
-        Completed requests until it is warm.
+        Number of completed requests until it is warm.
     cold_factor : float
         Latency of the first request as a multiple of the warm one.
     warm_latency : float
-        Seconds.
+        Latency of a request in seconds when warm.
     """
 
     slots: int = 2
@@ -39,31 +42,31 @@
     warm_latency: float = 0.05
     completed: int = 0
     running: int = 0
-    most_above: int = 0
+    max_excess: int = 0
     has_fallen: bool = False
     _grace_until: float = 0
 
     @property
     def warmth(self) -> float:
-        """From 0, cold, to 1."""
+        """Degree of warm-up, from 0 (cold) to 1 (warm)."""
         return min(1, self.completed / self.warm_up) if self.warm_up else 1
 
     @property
-    def bears(self) -> int:
-        """Runs that it bears at once."""
+    def capacity(self) -> int:
+        """Concurrent runs that it handles now."""
         return self.slots if self.warmth == 1 else 1
 
     @property
     def latency(self) -> float:
-        """Seconds that a request takes which starts now."""
+        """Latency in seconds of a request that starts now."""
         slower = (self.cold_factor - 1) * (1 - self.warmth)
         return self.warm_latency * (1 + slower)
 
     def start(self, now: float) -> float:
         """Start a run and return its latency."""
         self.running += 1
-        above = self.running - self.bears
-        self.most_above = max(self.most_above, above)
+        above = self.running - self.capacity
+        self.max_excess = max(self.max_excess, above)
         if above > 0 and now > self._grace_until:
             self.has_fallen = True
         return self.latency
@@ -74,20 +77,20 @@
         self.completed += 1
 
     def turn_cold(self, now: float) -> None:
-        """Lose all warmth without a word."""
+        """Turn cold without announcing it."""
         self.completed = 0
-        self._grace_until = now + SILENT_GRACE * self.warm_latency
+        self._grace_until = now + SILENT_GRACE_FACTOR * self.warm_latency
 
 
 class Simulation:
-    """Callers that ask for a run at a steady rate, on a simulated clock.
+    """Callers that request runs at a steady rate, on a simulated clock.
 
     Parameters
     ----------
     server : FakeServer
-        What carries the runs.
+        Server that executes the runs.
     limit : ConcurrencyLimit
-        What lets them through.
+        Limit that admits them.
     """
 
     def __init__(self, server: FakeServer, limit: ConcurrencyLimit) -> None:
@@ -100,29 +103,29 @@
         self._order = itertools.count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
-    def at(self, when: float, event: Callable[[], None]) -> None:
-        """Run something at a time."""
+    def schedule(self, when: float, event: Callable[[], None]) -> None:
+        """Schedule an event at a point in time."""
         heapq.heappush(self._events, (when, next(self._order), event))
 
     def offer(self, rate: float, until: float, seed: int | None = None):
-        """Ask for runs, so many a second, in step or at random times."""
+        """Schedule requests at a rate per second, evenly or at random times."""
         drawn = random.Random(seed)
         when = self.now
         while when < until:
             self.offered += 1
-            self.at(when, self.arrive)
+            self.schedule(when, self.arrive)
             when += 1 / rate if seed is None else drawn.expovariate(rate)
 
     def arrive(self) -> None:
-        """Ask for one run."""
+        """Request one run."""
         if not self.limit.try_start(self.now):
             self.refused += 1
             return
         latency = self.server.start(self.now)
-        self.at(self.now + latency, lambda: self._complete(latency))
+        self.schedule(self.now + latency, lambda: self._complete(latency))
 
     def run(self, until: float) -> None:
-        """Advance the clock."""
+        """Process events and advance the clock to a point in time."""
         while self._events and self._events[0][0] <= until:
             when, _, event = heapq.heappop(self._events)
             self.now = when
--- a/redwingstream/admission/tests/test_limit.py
+++ b/redwingstream/admission/tests/test_concurrency_limit.py
@@ -1,22 +1,22 @@
-"""The concurrency limit against servers that fall over."""
+"""The concurrency limit with servers that fail when overloaded."""
 
 import pytest
 
-from redwingstream.admission.evidence import FIRST_EVIDENCE
-from redwingstream.admission.latency import PROOF_FACTOR
-from redwingstream.admission.limit import (
+from redwingstream.admission.concurrency_limit import (
     COLD_LIMIT,
     ConcurrencyLimit,
     RunResult,
 )
+from redwingstream.admission.evidence import MIN_EVIDENCE_WITHOUT_REFERENCE
+from redwingstream.admission.latency import PROOF_FACTOR
 from redwingstream.admission.tests.fake_server import FakeServer, Simulation
-from redwingstream.admission.warmth import JUMPS_TO_RELEARN, Sign, Warmth
+from redwingstream.admission.warmth import JUMPS_TO_RELEARN, Warmth, WarmthSign
 
 LATENCY = 0.05
 
 
 class Driver:
-    """Keeps a limit in full use, on a clock of its own."""
+    """Keeps a concurrency limit in full use, on a simulated clock."""
 
     def __init__(self, ceiling: int, expected: float | None = None) -> None:
         self.limit = ConcurrencyLimit(ceiling, expected)
@@ -24,14 +24,14 @@
         self.starts: list[float] = []
 
     def fill(self) -> int:
-        """Start as many runs as may be; return how many."""
+        """Start as many runs as the limit admits; return how many."""
         before = len(self.starts)
         while self.limit.try_start(self.now):
             self.starts.append(self.now)
         return len(self.starts) - before
 
     def end(self, latency=LATENCY, how=RunResult.COMPLETED) -> None:
-        """End the oldest run when it has taken so long."""
+        """End the oldest run after the given latency."""
         started_at = self.starts.pop(0)
         self.now = max(self.now, started_at + latency)
         self.limit.record_finished(self.now - started_at, how, self.now)
@@ -42,7 +42,7 @@
         self.starts.append(self.now)
 
     def complete(self, count: int, latency=LATENCY) -> None:
-        """Complete so many runs while the limit is in full use."""
+        """Complete a number of runs while the limit is in full use."""
         for _ in range(count):
             self.fill()
             self.end(latency)
@@ -65,11 +65,12 @@
     def test_announced_server_is_never_above_what_it_bears(
         self, slots, warm_up, cold_factor, load
     ):
-        """A server that has just started falls over and takes its feeds along.
+        """A server that has just started is not overloaded.
 
-        It announces itself, callers come at full rate or five times that, and
-        it bears one request at a time until it has completed a few dozen.
-        Cause: load given by share of the pool, not by evidence.
+        It handles one request at a time until it has completed a few dozen,
+        while callers arrive at its full rate or five times that.  Guards
+        against load assigned by the server's share of the pool instead of by
+        evidence: the server would fail and lose its feeds.
         """
         server = FakeServer(slots, warm_up, cold_factor)
         simulation = Simulation(server, ConcurrencyLimit(slots))
@@ -80,13 +81,13 @@
 
     @pytest.mark.parametrize('load', [0.5, 2])
     @pytest.mark.parametrize('offset', [0, 0.013, 0.031, 0.049])
-    def test_server_that_turns_cold_without_a_word(self, load, offset):
-        """A warm server stops answering in the middle of the evening.
+    def test_server_that_turns_cold_unannounced(self, load, offset):
+        """A server that turns cold under load is not overloaded.
 
-        It turns cold without a word while all its slots are in use; its
-        endpoints say nothing.  Starts go on at the warm rate until answers
-        come late, and the late answers come after the server has fallen over.
-        Cause: reacting to completed runs only, not to overdue ones.
+        It turns cold without announcing it while all its slots are in use, and
+        its endpoints do not show it.  Guards against reacting only to
+        completed runs and not to overdue ones: runs would start at the warm
+        rate until late answers arrive, after the server has failed.
         """
         server = FakeServer(slots=3)
         simulation = Simulation(server, ConcurrencyLimit(ceiling=3))
@@ -98,11 +99,12 @@
         assert not server.has_fallen
         assert simulation.limit.limit == 3
 
-    def test_idle_server_that_turned_cold_without_a_word(self):
-        """A server is brought down by the first callers after a quiet hour.
+    def test_idle_server_that_turned_cold_unannounced(self):
+        """The first burst after an idle hour does not overload a server.
 
-        It turned cold in that hour, when nothing could show it, and the first
-        burst fills all its slots.  Cause: trust in what it bore an hour ago.
+        The server may have turned cold in that hour without any run to show
+        it.  Guards against filling all slots because the server could handle
+        that load an hour ago.
         """
         driver = warm()
         driver.now += 3600
@@ -111,11 +113,12 @@
         assert driver.fill() == 3
 
     def test_server_that_turns_cold_before_its_latency_is_known(self) -> None:
-        """A server falls over right after its first raise.
+        """The first raise does not overload a server that turned cold again.
 
-        It has just become warm; nothing is known yet of how long requests
-        take there.  It turns cold without a word, and one warm latency before
-        fifteen falling ones passed for chance (found by the state machine).
+        The server has just become warm, and the latency of its requests is
+        not known yet, when it turns cold without announcing it.  Guards
+        against too short a window, in which one warm latency before fifteen
+        falling ones looks like random variation.
         """
         server = FakeServer(slots=2, warm_up=42, cold_factor=3)
         limit = ConcurrencyLimit(2)
@@ -135,10 +138,11 @@
     @pytest.mark.parametrize('warm_up', [20, 38, 60])
     @pytest.mark.parametrize('cold_factor', [2, 3])
     def test_known_server_that_restarts(self, warm_up, cold_factor):
-        """A server falls over a second time just after its restart.
+        """A restarted server of known latency is not overloaded.
 
-        It is nearly as fast as it was long before it bears what it did.
-        Cause: latencies close to the expected ones taken for enough.
+        It is nearly as fast as before the restart long before it handles the
+        same load.  Guards against raising the limit as soon as latencies are
+        close to the expected ones.
         """
         server = FakeServer(2, warm_up, cold_factor)
         simulation = Simulation(server, ConcurrencyLimit(2))
@@ -148,26 +152,26 @@
         server.completed = 0
         simulation.limit.server_restarted(simulation.now)
         simulation.run(until=60 + server.latency)
-        server.most_above = 0
+        server.max_excess = 0
         simulation.run(until=200)
-        assert server.most_above == 0
+        assert server.max_excess == 0
         assert simulation.limit.limit == 2
 
     def test_end_of_a_run_proves_nothing_since_its_start(self):
         warmth = Warmth(LATENCY)
         bound = warmth.reference.bound
         took = PROOF_FACTOR * LATENCY
-        assert warmth.judge(took, 10, is_cold=True) is Sign.IN_TIME
+        assert warmth.classify(took, 10, is_cold=True) is WarmthSign.IN_TIME
         started = 10 - took
-        assert warmth.is_proven(10)
-        assert warmth.is_proven(started + bound)
-        assert not warmth.is_proven(started + 1.01 * bound)
+        assert warmth.is_proven_warm(10)
+        assert warmth.is_proven_warm(started + bound)
+        assert not warmth.is_proven_warm(started + 1.01 * bound)
 
     def test_a_run_that_is_nearly_late_proves_nothing(self):
         warmth = Warmth(LATENCY)
         bound = warmth.reference.bound
-        assert warmth.judge(bound, 10, is_cold=True) is Sign.IN_TIME
-        assert not warmth.is_proven(10)
+        assert warmth.classify(bound, 10, is_cold=True) is WarmthSign.IN_TIME
+        assert not warmth.is_proven_warm(10)
 
     def test_restart_gives_the_least_whatever_was_reached(self):
         driver = warm()
@@ -179,7 +183,7 @@
 class TestGrowth:
     @pytest.mark.parametrize(('slots', 'needed'), [(2, 16), (3, 32)])
     def test_completed_requests_to_the_full_share(self, slots, needed):
-        """The figures that docs/design/admission.md gives."""
+        """The number of completed requests matches docs/design/admission.md."""
         driver = Driver(slots, LATENCY)
         driver.complete(needed - 1)
         assert driver.limit.limit == slots - 1
@@ -202,7 +206,7 @@
 
     def test_without_an_expected_latency_more_is_needed(self):
         driver = Driver(2)
-        driver.complete(FIRST_EVIDENCE - 1)
+        driver.complete(MIN_EVIDENCE_WITHOUT_REFERENCE - 1)
         assert driver.limit.limit == COLD_LIMIT
         driver.complete(1)
         assert driver.limit.limit == 2
@@ -211,7 +215,7 @@
         driver = Driver(2)
         driver.limit.set_expected_latency(LATENCY)
         driver.limit.set_expected_latency(8 * LATENCY)
-        driver.complete(FIRST_EVIDENCE - 1, latency=8 * LATENCY)
+        driver.complete(MIN_EVIDENCE_WITHOUT_REFERENCE - 1, latency=8 * LATENCY)
         assert driver.limit.limit == COLD_LIMIT
 
     def test_slow_server_is_held_against_the_expected_latency(self):
@@ -223,7 +227,7 @@
         driver = warm(ceiling=2)
         driver.complete(2, latency=8 * LATENCY)
         assert driver.limit.limit == COLD_LIMIT
-        relearned = JUMPS_TO_RELEARN + FIRST_EVIDENCE
+        relearned = JUMPS_TO_RELEARN + MIN_EVIDENCE_WITHOUT_REFERENCE
         driver.complete(relearned, latency=8 * LATENCY)
         assert driver.limit.limit == 2
 
@@ -287,12 +291,13 @@
         ('load', 'least_use'), [(1, 0.55), (2, 0.72), (5, 0.87)]
     )
     def test_a_host_alone_is_used_as_far_as_it_can_be(self, load, least_use):
-        """At twice and five times the capacity nobody gets an answer.
+        """Requests above the limit are refused at once, and the rest answered.
 
-        Requests wait in line until their callers have given up, and the server
-        works for nobody.  Cause: queueing in place of refusing at once.
-        Without a line two slots carry what Erlang's loss formula says: 0.6,
-        0.77 and 0.9 of the capacity.  Several hosts together carry more.
+        Guards against queueing at twice and five times the capacity: requests
+        would wait until their callers have given up, and the server would run
+        them in vain.  Without a queue two slots carry the fraction of the
+        capacity given by Erlang's loss formula: 0.6, 0.77 and 0.9 at these
+        loads.  Several hosts together carry more.
         """
         server = FakeServer(slots=2, warm_up=0)
         simulation = Simulation(server, ConcurrencyLimit(ceiling=2))
@@ -300,6 +305,6 @@
         simulation.offer(load * capacity, until=60, seed=3)
         simulation.run(until=60)
         assert simulation.answered >= least_use * capacity * 60
-        # Everything that was not let through was refused on arrival.
+        # Every request that was not admitted was refused on arrival.
         let_through = simulation.answered + server.running
         assert simulation.refused + let_through == simulation.offered
--- a/redwingstream/admission/tests/test_feeds.py
+++ b/redwingstream/admission/tests/test_feed_limit.py
@@ -1,12 +1,12 @@
-"""The limit on feeds and the pace at which they are opened."""
+"""Limit on feeds and on the rate at which they are opened."""
 
-from redwingstream.admission.feeds import COLD_FEEDS, FeedLimit
+from redwingstream.admission.feed_limit import COLD_FEEDS, FeedLimit
 
 STEP = 0.01
 
 
 def register(feeds: FeedLimit, count: int, now: float) -> float:
-    """Open so many feeds as fast as it is allowed; return when done."""
+    """Open feeds as fast as the limit allows; return the time of the last."""
     while count:
         if feeds.try_open(now):
             feeds.record_opened()
@@ -24,11 +24,11 @@
         assert not feeds.try_open(100)
 
     def test_registrations_after_a_restart_are_paced(self):
-        """A restarted server falls over again as soon as it is up.
+        """Feeds of a restarted server are registered again at a limited rate.
 
-        Its 2,000 feeds are lost, and all are registered again at the moment
-        when it announces itself.  Cause: established work taken for work that
-        needs no admission.
+        Guards against admitting feeds that were open before without a limit:
+        all 2,000 would be registered at the moment when the server announces
+        itself, and overload it again.
         """
         feeds = FeedLimit(2000)
         now = register(feeds, 2000, now=0)
--- a/redwingstream/admission/tests/test_choice.py
+++ b/redwingstream/admission/tests/test_peer_choice.py
@@ -3,7 +3,7 @@
 import random
 from collections import Counter
 
-from redwingstream.admission.choice import REPORT_EXPIRY, PeerLoads
+from redwingstream.admission.peer_choice import REPORT_EXPIRY, PeerLoads
 from redwingstream.forwarding.messages import LoadReport
 
 NOBODY = frozenset()
@@ -44,17 +44,16 @@
         assert loads.choose(NOBODY, now=REPORT_EXPIRY + 1) is None
 
     def test_host_is_not_chosen_beyond_the_room_that_it_reported(self):
-        """Every balancer's new work goes to one host, which falls over.
+        """Work sent since a report counts against the reported capacity.
 
-        It reports that it has room; until its next report, which is late,
-        everybody sends to it.  Cause: choosing by a report without counting
-        what was sent since.
+        Guards against all agents sending to one host that has reported free
+        capacity, until its next report arrives late and it is overloaded.
         """
         loads = peers(carse1=1, fife1=0)
         chosen = Counter(loads.choose(NOBODY, now=0) for _ in range(10))
         assert chosen == {'carse1': 2, 'fife1': 3, None: 5}
 
-    def test_report_that_cannot_know_of_what_was_sent(self):
+    def test_report_that_misses_recently_sent_work(self):
         loads = peers(carse1=2)
         assert loads.choose(NOBODY, now=0.1) == 'carse1'
         loads.handle_report(LoadReport('carse1', 1, 2, 3, 0), now=0.11)
@@ -62,7 +61,7 @@
         loads.handle_report(LoadReport('carse1', 1, 2, 3, 0), now=0.3)
         assert loads.choose(NOBODY, now=0.3) == 'carse1'
 
-    def test_what_has_ended_counts_no_more(self):
+    def test_ended_work_no_longer_counts(self):
         loads = peers(carse1=2)
         assert loads.choose(NOBODY, now=0, run_time=0.1) == 'carse1'
         assert loads.choose(NOBODY, now=0.1, run_time=0.1) is None
@@ -76,7 +75,7 @@
 
     def test_forgotten_host_is_no_choice(self):
         loads = peers(carse1=0)
-        loads.forget('carse1')
+        loads.remove('carse1')
         assert loads.choose(NOBODY, now=0) is None
 
     def test_expected_latency_is_that_of_warm_peers(self):
--- a/redwingstream/admission/tests/test_come_back.py
+++ b/redwingstream/admission/tests/test_retry_delays.py
@@ -1,17 +1,17 @@
-"""Come-back delays and the budget for retries."""
+"""Delays told to refused callers, and the budget for retries."""
 
 import random
 from collections import Counter
 
 import pytest
 
-from redwingstream.admission.come_back import (
-    LONGEST,
-    SHORTEST,
-    RetryDelays,
+from redwingstream.admission.retry_budget import RETRY_RESERVE, RetryBudget
+from redwingstream.admission.retry_delays import (
+    MAX_DELAY,
+    MIN_DELAY,
     OverloadGauge,
+    RetryDelays,
 )
-from redwingstream.admission.retry_budget import RETRY_RESERVE, RetryBudget
 from redwingstream.errors import ResultCode
 
 REASONS = (
@@ -24,25 +24,26 @@
 )
 
 
-class TestComeBack:
+class TestRetryDelays:
     @pytest.mark.parametrize('reason', REASONS)
     @pytest.mark.parametrize('overload', [0, 1, 4, 1e9])
     def test_delays_are_bounded(self, reason, overload):
-        come_back = RetryDelays(random.Random(2))
-        delays = {come_back.delay(reason, overload) for _ in range(500)}
-        assert min(delays) >= SHORTEST
-        assert max(delays) <= LONGEST
+        retry_delays = RetryDelays(random.Random(2))
+        delays = {retry_delays.delay(reason, overload) for _ in range(500)}
+        assert min(delays) >= MIN_DELAY
+        assert max(delays) <= MAX_DELAY
         assert len(delays) > 1
 
     def test_refused_callers_do_not_return_in_step(self):
-        """A minute after a peak the same peak comes again, to the second.
+        """Refused callers spread their retries over the interval.
 
-        1,000 callers are refused in one second and told the same delay.
-        Cause: come-back times computed from load alone.
+        Guards against delays computed from load alone: 1,000 callers refused
+        in one second would be told the same delay, and the peak would repeat
+        a minute later within the same second.
         """
-        come_back = RetryDelays(random.Random(2))
+        retry_delays = RetryDelays(random.Random(2))
         delays = Counter(
-            come_back.delay(ResultCode.OVERLOADED, overload=9)
+            retry_delays.delay(ResultCode.OVERLOADED, overload=9)
             for _ in range(1000)
         )
         assert max(delays.values()) < 1000 / len(delays) * 2
@@ -58,7 +59,7 @@
             gauge.record_refused(0)
         assert gauge.overload(0) == pytest.approx(4)
 
-    def test_the_past_fades(self):
+    def test_old_requests_decay(self):
         gauge = OverloadGauge(half_life=5)
         for _ in range(40):
             gauge.record_refused(0)
@@ -67,10 +68,11 @@
 
 class TestRetryBudget:
     def test_retries_are_a_tenth_of_fresh_requests(self):
-        """One slow server turns into an outage of all of them.
+        """The total number of retries is bounded.
 
-        Each timeout is repeated, the repeats time out too and are repeated.
-        Cause: retries bounded for each request, not in sum.
+        Guards against retries bounded only per request: the retries of timed
+        out requests time out and are retried too, until one slow server causes
+        an outage of all of them.
         """
         budget = RetryBudget()
         retried = 0
--- a/redwingstream/admission/tests/test_silent_cold.py
+++ b/redwingstream/admission/tests/test_silent_cold.py
@@ -1,15 +1,18 @@
-"""A server that turns cold without a word, while it runs what it was given."""
+"""A server that turns cold during runs without announcing it."""
 
 import heapq
 
-from redwingstream.admission.limit import ConcurrencyLimit, RunResult
+from redwingstream.admission.concurrency_limit import (
+    ConcurrencyLimit,
+    RunResult,
+)
 from redwingstream.admission.tests.fake_server import FakeServer
 
-ASKING = 8
+CALLERS = 8
 
 
 class _Load:
-    """Callers who ask for more than a server bears."""
+    """Callers that request more than a server can handle."""
 
     def __init__(self, server: FakeServer) -> None:
         self.server = server
@@ -23,9 +26,9 @@
                 latency = self.server.start(self.now)
                 heapq.heappush(self.ends, (self.now + latency, latency))
 
-    def be_full_for(self, runs: int) -> None:
+    def run_at_full_load(self, runs: int) -> None:
         for _ in range(runs):
-            self.ask(ASKING)
+            self.ask(CALLERS)
             when, latency = heapq.heappop(self.ends)
             self.now = when
             self.server.finish()
@@ -33,20 +36,20 @@
 
 
 class TestSilentCold:
-    """What a server is given that has turned cold without a word."""
+    """Admission to a server that has turned cold without announcing it."""
 
     def test_runs_that_are_a_little_late_prove_nothing(self) -> None:
-        """Callers lose a server that was half-way through its warm-up.
+        """A server half-way through its warm-up is not overloaded.
 
-        A server turns cold while it runs two requests; they end in their usual
-        time and warm it half.  The next two take 2.5 times as long, which was
-        still in time.  Taken for a proof that it is warm, they let two more
-        start at once, under which it falls over.
+        It turns cold while it runs two requests, which end in their usual time
+        and warm it up by half.  The next two take 2.5 times as long, which is
+        not a jump.  Guards against counting them as a proof that the server is
+        warm: two more runs would start at once and overload it.
         """
         load = _Load(FakeServer(slots=2, warm_up=4, cold_factor=4))
-        load.be_full_for(1)
-        load.be_full_for(65)
+        load.run_at_full_load(1)
+        load.run_at_full_load(65)
         load.ask(1)
         load.server.turn_cold(load.now)
-        load.be_full_for(4)
+        load.run_at_full_load(4)
         assert not load.server.has_fallen
--- a/redwingstream/admission/warmth.py
+++ b/redwingstream/admission/warmth.py
@@ -1,4 +1,4 @@
-"""Whether a backend server is warm, judged by how long its runs take."""
+"""Detection of a cold backend server by the latencies of its runs."""
 
 import enum
 import math
@@ -6,14 +6,19 @@
 
 from redwingstream.admission.latency import LatencyReference
 
-# Jumps in a row that mean a cold start; a single one is a long request.
+# Consecutive jumps in latency that mean a cold start; a single one is a long
+# request.
 JUMPS_FOR_COLD = 2
-# Jumps in a row after which another latency is the one to expect.
+# Consecutive jumps after which the reference latency is learned again.
 JUMPS_TO_RELEARN = 64
 
 
-class Sign(enum.Enum):
-    """What a completed run says of its server."""
+class WarmthSign(enum.Enum):
+    """What the latency of a completed run shows about its server.
+
+    ``IN_TIME``: as expected of a warm server.  ``LATE``: a single jump.
+    ``COLD``: the server has turned cold.
+    """
 
     IN_TIME = 'in_time'
     LATE = 'late'
@@ -21,12 +26,17 @@
 
 
 class Warmth:
-    """What is known of a server's warmth.
+    """Decides by the latencies of its runs whether a server is warm.
 
     Parameters
     ----------
     mean : float, optional
-        Seconds that a warm server of the pool takes, if it is known.
+        Mean latency of warm servers of the pool in seconds, if known.
+
+    Attributes
+    ----------
+    reference : LatencyReference
+        Latency to expect of the server while it is warm.
     """
 
     def __init__(self, mean: float | None = None) -> None:
@@ -34,56 +44,58 @@
         self._jumps: list[float] = []
         self._warm_at = -math.inf
 
-    def judge(self, latency: float, now: float, is_cold: bool) -> Sign:
-        """Take a completed run.
+    def classify(self, latency: float, now: float, is_cold: bool) -> WarmthSign:
+        """Classify a completed run and learn from its latency.
 
         Parameters
         ----------
         latency : float
-            Seconds that it took.
+            Duration of the run in seconds.
         now : float
-            Seconds.
+            Current time in seconds, by the event loop's clock.
         is_cold : bool
-            Whether the server is taken for cold; it is learned from a warm
-            one only what to expect.
+            Whether the server counts as cold; the reference is learned only
+            from a warm server.
         """
         if self.reference.is_jump(latency):
-            return self._jumped(latency)
-        if self.reference.has_risen(latency):
-            return Sign.COLD
-        if self.reference.is_proof(latency):
+            return self._handle_jump(latency)
+        if self.reference.record_recent(latency):
+            return WarmthSign.COLD
+        if self.reference.proves_warmth(latency):
             self._warm_at = max(self._warm_at, now - latency)
         if not is_cold:
-            # A jump between runs in time was a long request, and belongs to
-            # what is to be expected.
+            # A jump between runs in time was a long request and is part of the
+            # latencies to expect.
             for expected in (*self._jumps, latency):
                 self.reference.observe(expected)
         self._jumps.clear()
-        return Sign.IN_TIME
+        return WarmthSign.IN_TIME
 
-    def is_proven(self, now: float) -> bool:
-        """Whether a run that started lately has completed in time.
+    def is_proven_warm(self, now: float) -> bool:
+        """Whether a run that started recently has completed in time.
 
-        The end of a run proves nothing of the time since it started.
+        A completed run proves that the server was warm at its start, not that
+        it is warm at its end.
         """
         return not self.reference.is_jump(now - self._warm_at)
 
-    def settled(self, latencies: Iterable[float]) -> None:
-        """Take latencies as those of the server when it is warm."""
+    def replace_reference(self, latencies: Iterable[float]) -> None:
+        """Use latencies as the reference of the warm server."""
         self.reference.restart(latencies)
 
-    def turned_cold(self) -> None:
-        """Forget proofs; jumps are still counted, to learn from them."""
+    def discard_proof(self) -> None:
+        """Discard the proof of warmth; jumps still count towards relearning."""
         self._warm_at = -math.inf
-        self.reference.forget_recent()
+        self.reference.clear_recent()
 
-    def _jumped(self, latency: float) -> Sign:
+    def _handle_jump(self, latency: float) -> WarmthSign:
         self._jumps.append(latency)
         if len(self._jumps) < JUMPS_FOR_COLD:
-            return Sign.LATE
+            return WarmthSign.LATE
         if len(self._jumps) >= JUMPS_TO_RELEARN:
-            # Not cold but slower for good, such as after a new release: the
-            # old reference would keep the server at the cold limit for ever.
+            # The server is not cold but permanently slower, for example after
+            # a new release.  The old reference would keep it at the cold limit
+            # for ever.
             self.reference = LatencyReference()
             self._jumps.clear()
-        return Sign.COLD
+        return WarmthSign.COLD
--- a/redwingstream/agent/carrier.py
+++ b/redwingstream/agent/carrier.py
@@ -6,7 +6,7 @@
 import attrs
 from aiocoap.message import Message
 
-from redwingstream.admission.limit import RunResult
+from redwingstream.admission.concurrency_limit import RunResult
 from redwingstream.agent.effects import PerformServerEffects
 from redwingstream.agent.parts import AgentParts
 from redwingstream.agent.replies import Replies
--- a/redwingstream/agent/making.py
+++ b/redwingstream/agent/making.py
@@ -2,10 +2,10 @@
 
 import random
 
-from redwingstream.admission.choice import PeerLoads
-from redwingstream.admission.come_back import RetryDelays, OverloadGauge
-from redwingstream.admission.feeds import FeedLimit
-from redwingstream.admission.limit import ConcurrencyLimit
+from redwingstream.admission.peer_choice import PeerLoads
+from redwingstream.admission.retry_delays import RetryDelays, OverloadGauge
+from redwingstream.admission.feed_limit import FeedLimit
+from redwingstream.admission.concurrency_limit import ConcurrencyLimit
 from redwingstream.admission.retry_budget import RetryBudget
 from redwingstream.agent.outputs import Outputs
 from redwingstream.agent.parts import (
--- a/redwingstream/agent/openings.py
+++ b/redwingstream/agent/openings.py
@@ -2,7 +2,7 @@
 
 from aiocoap.message import Message
 
-from redwingstream.admission.limit import RunResult
+from redwingstream.admission.concurrency_limit import RunResult
 from redwingstream.agent.effects import PerformServerEffects
 from redwingstream.agent.parts import AgentParts
 from redwingstream.flows.effects import FeedSource, OpenFeed
--- a/redwingstream/agent/tests/test_wait_queue.py
+++ b/redwingstream/agent/tests/test_wait_queue.py
@@ -1,6 +1,9 @@
 """Requests that wait a moment for a slot."""
 
-from redwingstream.admission.limit import ConcurrencyLimit, RunResult
+from redwingstream.admission.concurrency_limit import (
+    ConcurrencyLimit,
+    RunResult,
+)
 from redwingstream.agent.tests.pool import FakePool
 from redwingstream.agent.tests.support import hold_slots, settled_pool, warm_up
 from redwingstream.agent.wait_queue import (
--- a/redwingstream/agent/wait_queue.py
+++ b/redwingstream/agent/wait_queue.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from redwingstream.admission.limit import ConcurrencyLimit
+from redwingstream.admission.concurrency_limit import ConcurrencyLimit
 
 LONGEST_WAIT = 0.25
 """Seconds that a request may be expected to wait, and may wait at most."""
--- a/redwingstream/fleet/deployment.py
+++ b/redwingstream/fleet/deployment.py
@@ -5,7 +5,7 @@
 import attrs
 
 from redwingstream.endpoints import Endpoint
-from redwingstream.openings.pacing import ColdLimit
+from redwingstream.openings.cold_limit import ColdLimit
 from redwingstream.packets.flow import Address, address_of
 
 CONTROL_OFFSET = 0
--- a/redwingstream/fleet/tests/fakes.py
+++ b/redwingstream/fleet/tests/fakes.py
@@ -7,7 +7,7 @@
 
 from redwingstream.fleet.deployment import Deployment, ListenEndpoints
 from redwingstream.fleet.process import KEY_SIZE
-from redwingstream.openings.pacing import ColdLimit
+from redwingstream.openings.cold_limit import ColdLimit
 from redwingstream.wire.frames import FrameCodec
 
 FIRST_PORT = 7720
--- a/redwingstream/openings/__init__.py
+++ b/redwingstream/openings/__init__.py
@@ -1,13 +1,17 @@
-"""Whether a backend server is given a new flow, decided beside it.
+"""Admission of new flows to the backend server beside an agent.
 
 Modules
 -------
 reports
-    What a server says of itself, and which of its reports is the newest.
-pacing
-    How many new flows a cold server gets within a second.
-failing
-    Whether it fails its requests, whatever it says.
+    Reports of a server on its own state, and which of them is the newest.
+cold_limit
+    Limit on the new flows that a cold server gets within a second.
+failure_tracking
+    Detection of a server that fails its requests although it reports ready.
+caller_timeouts
+    When callers retransmit an opening packet and when they give up.
+wait_estimate
+    Estimate of the time that a new flow would wait for the server.
 gate
-    The decision.
+    The decision on each new flow, based on all of the above.
 """
--- a/redwingstream/openings/gate.py
+++ b/redwingstream/openings/gate.py
@@ -1,40 +1,50 @@
-"""The decision whether the server beside this agent is given a new flow."""
+"""Decision whether the server beside this agent is given a new flow."""
 
 import enum
 
 import attrs
 
 from redwingstream.directory.messages import Readiness
-from redwingstream.openings.expectation import (
-    RUN_SECONDS,
-    wait_for_pace,
-    wait_for_slot,
+from redwingstream.openings.cold_limit import (
+    RATE_WINDOW,
+    ColdLimit,
+    OpeningWindow,
+)
+from redwingstream.openings.failure_tracking import (
+    DOUBT_PENALTY,
+    FailureTracker,
 )
-from redwingstream.openings.failing import DOUBT_WAIT, FailureWatch
-from redwingstream.openings.pacing import RATE_WINDOW, ColdLimit, Pacer
 from redwingstream.openings.reports import ServerReport, ServerState
+from redwingstream.openings.wait_estimate import (
+    REQUEST_SECONDS,
+    expected_rate_wait,
+    expected_slot_wait,
+)
 from redwingstream.tables.snapshot import Tables
 
-SILENT_REPORTS = 2.5
-"""Reports that may be missing before the server counts as silent; one report
-that is lost or late must not close it."""
+SILENT_AFTER_REPORTS = 2.5
+"""Report intervals without a report after which the server counts as silent.
+One report that is lost or late must not stop new flows."""
 
-SERVER_QUEUE = 3
-"""Requests that may wait at the server itself, whatever its slots: servers
-queue a few and refuse more, and the next one is there when one ends."""
+SERVER_QUEUE_LIMIT = 3
+"""Requests that may queue at the server beyond its slots.  Servers queue a few
+requests and refuse more; a queued one starts as soon as a slot is free."""
 
-FULL_FOR = 0.05
-"""Seconds for which a server that has handed a new flow back is left alone:
-about the time in which one of its requests ends."""
+FULL_BACKOFF = 0.05
+"""Seconds without new flows after the server has handed one back, about the
+time in which one of its requests ends."""
 
-UNANSWERED_FOR = 0.25
-"""Seconds after which a new flow without any answer means that the server does
-not run; it answers within a millisecond, and the caller's first copy comes
-after 200 ms."""
+ANSWER_TIMEOUT = 0.25
+"""Seconds after which a new flow without any answer means that the server is
+not running.  A running server answers within a millisecond, and the caller
+sends its first copy after 200 ms."""
 
 
 class Verdict(enum.StrEnum):
-    """What becomes of a new flow, and why."""
+    """Decision on a new flow: ``TAKE``, or the reason not to open it now.
+
+    The values appear as reasons in log events.
+    """
 
     TAKE = 'take'
     BUSY = 'busy'
@@ -51,11 +61,11 @@
 
     @property
     def may_wait(self) -> bool:
-        """Whether the server may take the flow after a moment."""
-        return self in _PASSING
+        """Whether a new flow may wait for the server with this verdict."""
+        return self in _WAITABLE
 
 
-_PASSING = frozenset(
+_WAITABLE = frozenset(
     (
         Verdict.TAKE,
         Verdict.BUSY,
@@ -69,18 +79,18 @@
 
 @attrs.define
 class PoolRules:
-    """What the tables say of the server's pool and zone.
+    """Rules of the tables for the server's pool and availability zone.
 
     Parameters
     ----------
     zone : str
         The server's availability zone.
     cold_rate : float
-        New flows a second that a server of its pool bears while it is cold.
+        New flows per second that a cold server of the pool can handle.
     max_flows : int
-        Flows that it holds at once; 0 for no limit.
+        Maximum number of concurrent flows of the server; 0 for no limit.
     zones_out : frozenset of str
-        All availability zones that are out.
+        All availability zones that operators have taken out of service.
     """
 
     zone: str = ''
@@ -90,35 +100,35 @@
 
     @property
     def is_zone_out(self) -> bool:
-        """Whether operators have taken the server's zone out."""
+        """Whether operators have taken the server's zone out of service."""
         return self.zone in self.zones_out
 
     @classmethod
     def from_tables(
         cls, tables: Tables, pool_name: str, zone: str
     ) -> 'PoolRules':
-        """Return what tables say of a pool and a zone."""
+        """Return the rules of the tables for a pool and a zone."""
         zones_out = frozenset(filter(tables.is_zone_out, tables.zone_by_name))
-        around = cls(zone, zones_out=zones_out)
+        rules = cls(zone, zones_out=zones_out)
         pool = tables.pool_by_name.get(pool_name)
         if pool is not None and pool.limits is not None:
-            around.cold_rate = pool.limits.cold_rate
-            around.max_flows = pool.limits.max_flows
-        return around
+            rules.cold_rate = pool.limits.cold_rate
+            rules.max_flows = pool.limits.max_flows
+        return rules
 
 
 @attrs.frozen
 class Load:
-    """What the server has to do.
+    """Current load of the server.
 
     Parameters
     ----------
     waiting : int
-        Requests that it has not begun to answer.
+        Requests that the server has not begun to answer.
     flows : int
-        Flows that it holds.
+        Open flows of the server.
     queued : int
-        New flows that wait for it at the agent.
+        New flows that wait at the agent for the server.
     """
 
     waiting: int
@@ -127,22 +137,31 @@
 
 
 class Gate:
-    """Decides on new flows for one server.
+    """Decides whether one server is given a new flow.
 
     Parameters
     ----------
     cold_limit : ColdLimit
-        What a cold server may get.
+        Limit on the new flows of a cold server.
     report_interval : float
         Seconds between two reports of a server.
     started_at : float
-        When the agent started.
+        Start of the agent in seconds, by the event loop's clock.
+
+    Attributes
+    ----------
+    state : ServerState
+        State of the server according to its reports.
+    rules : PoolRules
+        Rules of the tables for the server's pool and zone.
+    failures : FailureTracker
+        Outcomes of the server's requests.
 
     Notes
     -----
-    It assumes the worst until it has heard the server: an agent that restarts
+    No flow is opened before the first report: an agent that has restarted
     knows neither whether its server is draining nor whether it is cold, and
-    every new flow of this server passes here.
+    every new flow of the server passes this decision.
     """
 
     def __init__(
@@ -150,119 +169,132 @@
     ) -> None:
         self.state = ServerState()
         self.rules = PoolRules()
-        self.failures = FailureWatch()
+        self.failures = FailureTracker()
         self._cold_limit = cold_limit
-        self._silent_after = report_interval * SILENT_REPORTS
-        self._heard_by = started_at + report_interval
-        self._pacer = Pacer()
+        self._silence_timeout = report_interval * SILENT_AFTER_REPORTS
+        self._first_report_due_at = started_at + report_interval
+        self._recent_openings = OpeningWindow()
         self._cold_until = float('-inf')
         self._full_until = float('-inf')
-        self._doubted_at = float('-inf')
-        self._unanswered_since: float | None = None
+        self._assumed_cold_at = float('-inf')
+        self._unanswered_at: float | None = None
 
     def handle_report(self, report: ServerReport, now: float) -> bool:
-        """Take a report; return False when it is a late one."""
-        before = self.state.report
-        if not self.state.take(report, now):
+        """Handle a report; return False when it is out of date."""
+        previous = self.state.report
+        if not self.state.apply_report(report, now):
             return False
-        if before is not None and before.born != report.born:
-            # What another run of the server failed says nothing of this one.
-            self.failures = FailureWatch()
+        if previous is not None and previous.born != report.born:
+            # Failures of the previous run of the server do not count for
+            # this one.
+            self.failures = FailureTracker()
         self._cold_until = now + report.cold_for
-        self._unanswered_since = None
+        self._unanswered_at = None
         return True
 
     def assume_cold(self, now: float) -> None:
-        """Take the server for cold until it has said that it is not.
+        """Treat the server as cold until its next report.
 
         Used when it may have turned cold since its last report: its zone has
-        come back, or it has lost flows that it held.
+        come back into service, or it has lost flows that it held.
         """
-        self._doubted_at = now
+        self._assumed_cold_at = now
 
     def is_cold(self, now: float) -> bool:
-        """Whether the server is cold, or may be."""
+        """Whether the server is cold or must be assumed to be."""
         return (
-            now < self._cold_until or self._doubted_at >= self.state.received_at
+            now < self._cold_until
+            or self._assumed_cold_at >= self.state.received_at
         )
 
     @property
     def slots(self) -> int:
-        """How many requests the server runs at once, as it said."""
+        """Number of requests that the server runs at once, as last reported."""
         report = self.state.report
         return 1 if report is None else max(1, report.slots)
 
     def verdict_for(self, load: Load, now: float) -> Verdict:
-        """Decide on a new flow."""
-        closed = self._closed(load, now)
-        if closed is not None:
-            return closed
+        """Return the decision on a new flow.
+
+        Parameters
+        ----------
+        load : Load
+            Current load of the server.
+        now : float
+            Current time in seconds, by the event loop's clock.
+        """
+        reason = self._block_reason(load, now)
+        if reason is not None:
+            return reason
         if self.is_cold(now):
             allowed = self._cold_limit.allowed(self.rules.cold_rate)
-            if self._pacer.count(now) >= allowed:
+            if self._recent_openings.count(now) >= allowed:
                 return Verdict.COLD
         if load.waiting >= self.slots:
             return Verdict.BUSY
-        is_taken = self.failures.may_take(now)
+        is_taken = self.failures.may_open(now)
         return Verdict.TAKE if is_taken else Verdict.FAILING
 
     def may_queue(self, load: Load) -> bool:
-        """Whether a busy server may be given one more request to wait for."""
-        return load.waiting < self.slots + SERVER_QUEUE
+        """Whether one more request may queue at a busy server."""
+        return load.waiting < self.slots + SERVER_QUEUE_LIMIT
 
     def expected_wait(self, load: Load, now: float) -> float:
-        """Return the seconds until the server is expected to take a new flow.
+        """Return the expected seconds until a new flow can be opened.
 
         Returns
         -------
         float
-            Infinite when it will not, or nobody can say when.
+            Infinite when the server accepts no new flows or the time is
+            not known.
         """
-        match self._closed(load, now):
+        match self._block_reason(load, now):
             case None:
-                pace = self._wait_for_warmth(load, now)
+                wait = self._expected_cold_wait(load, now)
             case Verdict.UNHEARD:
-                pace = self._heard_by - now
-                if pace < 0:
+                wait = self._first_report_due_at - now
+                if wait < 0:
                     return float('inf')
             case Verdict.FULL:
-                pace = self._full_until - now
+                wait = self._full_until - now
             case _:
                 return float('inf')
-        if not self.failures.may_take(now):
-            pace += DOUBT_WAIT
+        if not self.failures.may_open(now):
+            wait += DOUBT_PENALTY
         waiting = load.waiting + load.queued
-        return pace + wait_for_slot(waiting, self.slots, RUN_SECONDS)
+        return wait + expected_slot_wait(waiting, self.slots, REQUEST_SECONDS)
 
     def record_opened(self, now: float) -> None:
-        """Count a packet that opens a flow, on its way to the server."""
-        self._pacer.note(now)
-        self.failures.note_opened(now)
-        if self._unanswered_since is None:
-            self._unanswered_since = now
+        """Record an opening packet that is sent to the server."""
+        self._recent_openings.record(now)
+        self.failures.record_opened(now)
+        if self._unanswered_at is None:
+            self._unanswered_at = now
 
     def record_answer(self) -> None:
-        """The server has said something, so it runs."""
-        self._unanswered_since = None
+        """Record a packet of the server, which shows that it is running."""
+        self._unanswered_at = None
 
     def record_full(self, now: float) -> None:
-        """The server has handed a new flow back."""
-        self._full_until = now + FULL_FOR
+        """Record that the server has handed a new flow back."""
+        self._full_until = now + FULL_BACKOFF
 
-    def _wait_for_warmth(self, load: Load, now: float) -> float:
+    def _expected_cold_wait(self, load: Load, now: float) -> float:
         if not self.is_cold(now):
             return 0
         allowed = self._cold_limit.allowed(self.rules.cold_rate)
-        opened_at = self._pacer.opened_at(now)
-        pace = wait_for_pace(opened_at, allowed, load.queued, RATE_WINDOW, now)
-        if self._doubted_at >= self.state.received_at:
-            return pace
-        return min(pace, self._cold_until - now)
-
-    def _closed(self, load: Load, now: float) -> Verdict | None:
-        said = self._closed_as_said(now)
-        if said is not None:
-            return said
+        opened_at = self._recent_openings.opened_at(now)
+        wait = expected_rate_wait(
+            opened_at, allowed, load.queued, RATE_WINDOW, now
+        )
+        if self._assumed_cold_at >= self.state.received_at:
+            return wait
+        return min(wait, self._cold_until - now)
+
+    def _block_reason(self, load: Load, now: float) -> Verdict | None:
+        reported = self._block_reason_by_report(now)
+        if reported is not None:
+            return reported
         if self.rules.is_zone_out:
             return Verdict.ZONE_OUT
         if now < self._full_until:
@@ -272,7 +304,7 @@
         limit = self.rules.max_flows
         return Verdict.MAX_FLOWS if limit and load.flows >= limit else None
 
-    def _closed_as_said(self, now: float) -> Verdict | None:
+    def _block_reason_by_report(self, now: float) -> Verdict | None:
         match self.state.readiness:
             case Readiness.UNKNOWN:
                 return Verdict.UNHEARD
@@ -280,9 +312,11 @@
                 return Verdict.DRAINING
             case Readiness.GONE | Readiness.ENDED:
                 return Verdict.GONE
-        is_silent = now - self.state.received_at > self._silent_after
+        is_silent = now - self.state.received_at > self._silence_timeout
         return Verdict.SILENT if is_silent else None
 
     def _is_not_answering(self, now: float) -> bool:
-        since = self._unanswered_since
-        return since is not None and now - since > UNANSWERED_FOR
+        unanswered_at = self._unanswered_at
+        return (
+            unanswered_at is not None and now - unanswered_at > ANSWER_TIMEOUT
+        )
--- a/redwingstream/openings/reports.py
+++ b/redwingstream/openings/reports.py
@@ -1,33 +1,33 @@
-"""What a backend server says of itself, and which report is the newest."""
+"""Reports of a backend server on its own state, and which one is the newest."""
 
 import attrs
 
 from redwingstream.directory.messages import Readiness
 
 FIRST_SEQUENCE = 1
-"""Number of the first report of a run."""
+"""Sequence number of the first report of a run."""
 
 
 @attrs.frozen
 class ServerReport:
-    """What a server said.
+    """One report of a server.
 
     Parameters
     ----------
     server : str
-        Its name.
+        Name of the server.
     born : int
-        When this run of it started, in milliseconds of its own clock.
+        Start of this run of the server, in milliseconds by its own clock.
     sequence : int
-        Counts the reports of one run.
+        Number of the report within the run.
     pool : str
-        Pool that it belongs to.
+        Pool that the server belongs to.
     readiness : Readiness
         Ready or draining.
     cold_for : float
-        Seconds for which it stays cold.
+        Seconds for which the server stays cold.
     slots : int
-        Requests that it runs at once.
+        Number of requests that the server runs at once.
     """
 
     server: str
@@ -41,42 +41,42 @@
 
 @attrs.define
 class ServerState:
-    """What is known of the server beside this agent.
+    """State of the server beside this agent, according to its reports.
 
     Parameters
     ----------
     report : ServerReport or None
-        The newest one; None before the first.
-    heard_at : float
-        When it came.
-    has_left : bool
-        True when the server has said that it ends.
+        Newest report; None before the first one.
+    received_at : float
+        Time of its arrival in seconds, by the event loop's clock.
+    is_leaving : bool
+        True when the server has announced that it is about to end.
     has_ended : bool
         True when the server's process was found to have ended.
-    is_seen_whole : bool
-        True when this run of the server began while it was listened to, so that
-        it holds no flow that it was not given since.
+    is_observed_from_start : bool
+        True when this run of the server started while the agent was receiving
+        its reports, so that it holds only flows that it was given since.
     """
 
     report: ServerReport | None = None
     received_at: float = float('-inf')
-    has_left: bool = False
+    is_leaving: bool = False
     has_ended: bool = False
     is_observed_from_start: bool = False
 
-    def take(self, report: ServerReport, now: float) -> bool:
-        """Take a report unless it is a late one; return whether it was taken.
+    def apply_report(self, report: ServerReport, now: float) -> bool:
+        """Apply a report; return False when it is out of date.
 
         Notes
         -----
-        A report that was held up on its way may come after its sender has
-        ended and another run has started at the same address; taken for the
-        new run's, it would make a cold server look warm, or a leaving one
-        ready.  Runs are told apart by the time of their start, since a server
-        may start again under its name with its counter at the beginning.
+        A delayed report may arrive after its sender has ended and another run
+        has started at the same address.  Applied to the new run, it would make
+        a cold server look warm, or a leaving one ready.  Runs are
+        distinguished by their start time, since a restarted server keeps its
+        name and counts its reports from the beginning.
         """
         known = self.report
-        if known is not None and _order(report) <= _order(known):
+        if known is not None and _sort_key(report) <= _sort_key(known):
             return False
         if known is None:
             self.is_observed_from_start = report.sequence <= FIRST_SEQUENCE
@@ -84,15 +84,15 @@
             self.is_observed_from_start = True
         self.report = report
         self.received_at = now
-        self.has_left = False
+        self.is_leaving = False
         self.has_ended = False
         return True
 
     def mark_leaving(self, server: str) -> bool:
-        """Note that a server ends; return False when it is another one."""
+        """Record that the server is about to end; False for another server."""
         if self.report is None or self.report.server != server:
             return False
-        self.has_left = True
+        self.is_leaving = True
         return True
 
     def mark_ended(self) -> None:
@@ -101,13 +101,13 @@
 
     @property
     def readiness(self) -> Readiness:
-        """Whether the server may be given new flows, as it said."""
+        """Readiness of the server for new flows, as last reported."""
         if self.has_ended:
             return Readiness.ENDED
         if self.report is None:
             return Readiness.UNKNOWN
-        return Readiness.GONE if self.has_left else self.report.readiness
+        return Readiness.GONE if self.is_leaving else self.report.readiness
 
 
-def _order(report: ServerReport) -> tuple[int, int]:
+def _sort_key(report: ServerReport) -> tuple[int, int]:
     return (report.born, report.sequence)
--- a/redwingstream/openings/tests/test_patience.py
+++ b/redwingstream/openings/tests/test_caller_timeouts.py
@@ -1,12 +1,12 @@
-"""How long callers wait for a new flow."""
+"""When callers give up waiting for a new flow."""
 
 import pytest
 
-from redwingstream.openings.patience import has_caller_given_up
+from redwingstream.openings.caller_timeouts import has_caller_given_up
 
 
 class TestGivenUp:
-    """A copy that comes after the request's time-out is of no use."""
+    """A copy sent after the time-out of the request needs no answer."""
 
     @pytest.mark.parametrize(
         ('copies', 'timeout', 'expected'),
--- a/redwingstream/openings/tests/test_gate.py
+++ b/redwingstream/openings/tests/test_gate.py
@@ -1,24 +1,24 @@
-"""The decision whether a server is given a new flow.
+"""Decision whether a server is given a new flow.
 
-The figures are those of the users' deployments: a report each 1.2 s, no stated
-rate for cold servers, a factor of 1.5 and a slack of 5.
+The values are those of the users' deployments: a report every 1.2 s, no stated
+rate for cold servers, a burst factor of 1.5 and a slack of 5.
 """
 
 import attrs
 import pytest
 
 from redwingstream.directory.messages import Readiness
-from redwingstream.openings.failing import DOUBT_WAIT, FAILED_LIMIT
+from redwingstream.openings.cold_limit import RATE_WINDOW, ColdLimit
+from redwingstream.openings.failure_tracking import DOUBT_PENALTY, FAILED_LIMIT
 from redwingstream.openings.gate import (
-    FULL_FOR,
-    SILENT_REPORTS,
-    UNANSWERED_FOR,
+    ANSWER_TIMEOUT,
+    FULL_BACKOFF,
+    SILENT_AFTER_REPORTS,
     Gate,
     Load,
     PoolRules,
     Verdict,
 )
-from redwingstream.openings.pacing import RATE_WINDOW, ColdLimit
 from redwingstream.openings.reports import ServerReport
 
 INTERVAL = 1.2
@@ -29,14 +29,14 @@
 
 @pytest.fixture
 def gate() -> Gate:
-    """A gate that has heard its server at 10."""
+    """A gate that received a report of its server at time 10."""
     made = Gate(LIMIT, INTERVAL, 0)
     made.handle_report(REPORT, 10)
     return made
 
 
 class TestVerdicts:
-    """What becomes of a new flow."""
+    """Verdict on a new flow in each state of the server."""
 
     def test_taken(self, gate) -> None:
         assert gate.verdict_for(IDLE, 10) is Verdict.TAKE
@@ -45,7 +45,7 @@
         assert Gate(LIMIT, INTERVAL, 0).verdict_for(IDLE, 0) is Verdict.UNHEARD
 
     def test_silent(self, gate) -> None:
-        late = 10 + INTERVAL * SILENT_REPORTS
+        late = 10 + INTERVAL * SILENT_AFTER_REPORTS
         assert gate.verdict_for(IDLE, late) is Verdict.TAKE
         assert gate.verdict_for(IDLE, late + 0.1) is Verdict.SILENT
 
@@ -81,23 +81,23 @@
     def test_full_for_a_moment(self, gate) -> None:
         gate.record_full(11)
         assert gate.verdict_for(IDLE, 11) is Verdict.FULL
-        assert gate.verdict_for(IDLE, 11 + FULL_FOR) is Verdict.TAKE
+        assert gate.verdict_for(IDLE, 11 + FULL_BACKOFF) is Verdict.TAKE
 
     def test_not_answering(self, gate) -> None:
         """A server that has crashed gets no more new flows.
 
-        It was given a flow and has said nothing since; its next report is not
-        due yet.
+        It has sent no packet since it was given a flow, and its next report
+        is not due yet, so only the missing answer shows the crash.
         """
         gate.record_opened(11)
-        late = 11 + UNANSWERED_FOR + 0.01
+        late = 11 + ANSWER_TIMEOUT + 0.01
         assert gate.verdict_for(IDLE, late) is Verdict.NOT_ANSWERING
         gate.record_answer()
         assert gate.verdict_for(IDLE, late) is Verdict.TAKE
 
 
 class TestColdServer:
-    """What a cold server is given."""
+    """Limit on the new flows of a cold server."""
 
     @pytest.mark.parametrize(('rate', 'allowed'), [(0, 5), (1, 6), (4, 11)])
     def test_as_many_within_a_second_as_it_bears(
@@ -126,7 +126,7 @@
 
 
 class TestExpectedWait:
-    """How long a new flow would wait."""
+    """Expected wait of a new flow."""
 
     def test_none_for_an_idle_server(self, gate) -> None:
         assert gate.expected_wait(IDLE, 11) == 0
@@ -163,17 +163,18 @@
 
 
 class TestFailing:
-    """A server in doubt."""
+    """Verdict on new flows while the server is in doubt."""
 
     def test_is_passed_by_while_others_are_asked(self, gate) -> None:
         _fail(gate, 10)
         assert gate.verdict_for(IDLE, 10) is Verdict.FAILING
-        assert gate.expected_wait(IDLE, 10) == DOUBT_WAIT
+        assert gate.expected_wait(IDLE, 10) == DOUBT_PENALTY
 
     def test_begins_anew_with_another_run(self, gate) -> None:
-        """A server that was restarted is kept from its share for seconds.
+        """A restarted server gets new flows at once.
 
-        The run before it had failed its requests.
+        Guards against counting the failures of the previous run, which would
+        withhold flows from the new one for seconds.
         """
         _fail(gate, 10)
         gate.handle_report(attrs.evolve(REPORT, born=2000), 10)
--- a/redwingstream/openings/tests/test_reports.py
+++ b/redwingstream/openings/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Which of a server's reports counts."""
+"""Order of the reports of a server and its runs."""
 
 import attrs
 import pytest
@@ -10,17 +10,17 @@
 
 
 class TestServerState:
-    """Late reports and further runs of a server."""
+    """Late reports, and reports of later runs of a server."""
 
     @pytest.fixture
     def state(self) -> ServerState:
         known = ServerState()
-        known.take(FIRST, 10)
+        known.apply_report(FIRST, 10)
         return known
 
     def test_the_next_report_counts(self, state) -> None:
         draining = attrs.evolve(FIRST, sequence=6, readiness=Readiness.DRAINING)
-        assert state.take(draining, 11)
+        assert state.apply_report(draining, 11)
         assert state.readiness is Readiness.DRAINING
 
     @pytest.mark.parametrize('sequence', [4, 5])
@@ -28,27 +28,27 @@
         late = attrs.evolve(
             FIRST, sequence=sequence, readiness=Readiness.DRAINING
         )
-        assert not state.take(late, 11)
+        assert not state.apply_report(late, 11)
         assert state.readiness is Readiness.READY
 
     def test_a_later_run_begins_its_count_anew(self, state) -> None:
-        """A server that starts again under its name is heard at once.
+        """Reports of a restarted server of the same name count at once.
 
-        It counts its reports from one again; taken for late ones, it would
-        get no work until its count had passed the former run's.
+        The server counts its reports from one again.  If they counted as late,
+        it would get no work until its count had passed that of the former run.
         """
         again = attrs.evolve(FIRST, born=2000, sequence=1)
-        assert state.take(again, 11)
+        assert state.apply_report(again, 11)
 
     def test_a_former_run_is_not_heard_any_more(self, state) -> None:
-        """A report of a run that has ended does not speak for the next one.
+        """A report of an ended run does not change the state of the next.
 
-        It was held up on its way, and comes after its sender has ended and
-        another run has reported at the same address.
+        It is delayed and arrives after its sender has ended and another run
+        has reported from the same address.
         """
-        state.take(attrs.evolve(FIRST, server='i-2', born=2000), 11)
+        state.apply_report(attrs.evolve(FIRST, server='i-2', born=2000), 11)
         late = attrs.evolve(FIRST, sequence=99, readiness=Readiness.DRAINING)
-        assert not state.take(late, 12)
+        assert not state.apply_report(late, 12)
         assert state.readiness is Readiness.READY
 
     def test_leaving(self, state) -> None:
--- a/redwingstream/packets/agent_context.py
+++ b/redwingstream/packets/agent_context.py
@@ -6,7 +6,7 @@
 import attrs
 
 from redwingstream.directory.view import Agent, AgentView
-from redwingstream.openings.expectation import longest_wait
+from redwingstream.openings.wait_estimate import longest_wait
 from redwingstream.openings.gate import Gate, Load
 from redwingstream.packets.effects import ToPeer, peer_datagram
 from redwingstream.packets.envelopes import (
--- a/redwingstream/packets/balancer_forwarder.py
+++ b/redwingstream/packets/balancer_forwarder.py
@@ -12,7 +12,7 @@
 import attrs
 
 from redwingstream.directory.view import AgentView
-from redwingstream.openings.patience import has_caller_given_up
+from redwingstream.openings.caller_timeouts import has_caller_given_up
 from redwingstream.packets import events
 from redwingstream.packets.bounded_table import BoundedTable
 from redwingstream.packets.choosing import Choosing, pool_for
--- a/redwingstream/packets/tests/network.py
+++ b/redwingstream/packets/tests/network.py
@@ -15,7 +15,7 @@
 from redwingstream.directory.messages import Readiness
 from redwingstream.directory.view import Agent, AgentView
 from redwingstream.openings.gate import Gate, PoolRules
-from redwingstream.openings.pacing import ColdLimit
+from redwingstream.openings.cold_limit import ColdLimit
 from redwingstream.openings.reports import ServerReport
 from redwingstream.packets.agent_forwarder import AgentForwarder
 from redwingstream.packets.effects import Outgoing, ToCaller, ToPeer, ToServer
--- a/redwingstream/packets/tests/test_waiting.py
+++ b/redwingstream/packets/tests/test_waiting.py
@@ -8,8 +8,8 @@
 """
 
 from redwingstream.directory.messages import Readiness
-from redwingstream.openings.expectation import MAX_WAIT
-from redwingstream.openings.pacing import RATE_WINDOW
+from redwingstream.openings.wait_estimate import MAX_WAIT
+from redwingstream.openings.cold_limit import RATE_WINDOW
 from redwingstream.packets.tests.network import (
     HOP,
     REPORT_INTERVAL,
--- a/redwingstream/packets/tests/test_zones.py
+++ b/redwingstream/packets/tests/test_zones.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from redwingstream.openings.expectation import BUSY_WAIT_FRACTION
+from redwingstream.openings.wait_estimate import BUSY_WAIT_FRACTION
 from redwingstream.packets.admitting import ZONE_WAIT
 from redwingstream.packets.tests.network import (
     HOP,
