--- a/redwingstream/admission/evidence.py
+++ b/redwingstream/admission/evidence.py
@@ -107,10 +107,7 @@
 
 
 def _is_random(latencies: list[float]) -> bool:
-    """Whether latencies are nearly constant, or uncorrelated and not too wide.
-
-    A spread above the maximal standard error could hide a fall.
-    """
+    """Whether latencies are nearly constant, or vary little and at random."""
     mean = sum(latencies) / len(latencies)
     squares = sum((latency - mean) ** 2 for latency in latencies)
     deviation = math.sqrt(squares / len(latencies))
--- a/redwingstream/admission/feed_limit.py
+++ b/redwingstream/admission/feed_limit.py
@@ -94,8 +94,9 @@
     def record_failed(self) -> None:
         """Record a refusal or a time-out of a registration.
 
-        The limit is reduced to the number of open feeds: none of them is
-        closed, and the limit rises again only with new accepted registrations.
+        The limit is reduced to the number of open feeds, but not below that of
+        a cold server: no open feed is closed, and the limit rises again only
+        with newly accepted registrations.
         """
         self.opening_count -= 1
         self.limit = max(min(COLD_FEEDS, self._ceiling), self.open_count)
--- a/redwingstream/admission/tests/test_concurrency_limit.py
+++ b/redwingstream/admission/tests/test_concurrency_limit.py
@@ -173,7 +173,7 @@
         assert warmth.classify(bound, 10, is_cold=True) is WarmthSign.IN_TIME
         assert not warmth.is_proven_warm(10)
 
-    def test_restart_gives_the_least_whatever_was_reached(self):
+    def test_restart_resets_to_the_cold_limit(self):
         driver = warm()
         driver.limit.server_restarted(driver.now)
         assert driver.limit.limit == COLD_LIMIT
@@ -182,7 +182,7 @@
 
 class TestGrowth:
     @pytest.mark.parametrize(('slots', 'needed'), [(2, 16), (3, 32)])
-    def test_completed_requests_to_the_full_share(self, slots, needed):
+    def test_completed_requests_until_the_full_limit(self, slots, needed):
         """The number of completed requests matches docs/design/admission.md."""
         driver = Driver(slots, LATENCY)
         driver.complete(needed - 1)
@@ -218,12 +218,12 @@
         driver.complete(MIN_EVIDENCE_WITHOUT_REFERENCE - 1, latency=8 * LATENCY)
         assert driver.limit.limit == COLD_LIMIT
 
-    def test_slow_server_is_held_against_the_expected_latency(self):
+    def test_slow_server_is_compared_with_the_expected_latency(self):
         driver = Driver(2, LATENCY)
         driver.complete(JUMPS_TO_RELEARN - 1, latency=8 * LATENCY)
         assert driver.limit.limit == COLD_LIMIT
 
-    def test_server_that_is_slower_for_good_gets_its_share_again(self):
+    def test_permanently_slower_server_reaches_its_limit_again(self):
         driver = warm(ceiling=2)
         driver.complete(2, latency=8 * LATENCY)
         assert driver.limit.limit == COLD_LIMIT
@@ -290,7 +290,7 @@
     @pytest.mark.parametrize(
         ('load', 'least_use'), [(1, 0.55), (2, 0.72), (5, 0.87)]
     )
-    def test_a_host_alone_is_used_as_far_as_it_can_be(self, load, least_use):
+    def test_utilization_of_a_single_host(self, load, least_use):
         """Requests above the limit are refused at once, and the rest answered.
 
         Guards against queueing at twice and five times the capacity: requests
--- a/redwingstream/admission/tests/test_feed_limit.py
+++ b/redwingstream/admission/tests/test_feed_limit.py
@@ -36,7 +36,7 @@
         assert feeds.open_count == 0
         assert register(feeds, COLD_FEEDS, now) - now > 3
 
-    def test_feeds_without_consent_do_not_raise_the_limit(self):
+    def test_unanswered_registrations_do_not_raise_the_limit(self):
         feeds = FeedLimit(2000)
         now = float(0)
         while feeds.opening_count < COLD_FEEDS:
@@ -45,7 +45,7 @@
         assert not feeds.try_open(now + 100)
         assert feeds.limit == COLD_FEEDS
 
-    def test_failure_takes_the_limit_back_to_what_is_carried(self):
+    def test_failure_reduces_the_limit_to_the_open_feeds(self):
         feeds = FeedLimit(2000)
         now = register(feeds, 50, now=0)
         assert feeds.limit == 64
--- a/redwingstream/admission/tests/test_retry_delays.py
+++ b/redwingstream/admission/tests/test_retry_delays.py
@@ -34,7 +34,7 @@
         assert max(delays) <= MAX_DELAY
         assert len(delays) > 1
 
-    def test_refused_callers_do_not_return_in_step(self):
+    def test_refused_callers_do_not_retry_simultaneously(self):
         """Refused callers spread their retries over the interval.
 
         Guards against delays computed from load alone: 1,000 callers refused
@@ -81,7 +81,7 @@
             retried += budget.try_retry()
         assert retried <= 100 + RETRY_RESERVE
 
-    def test_quiet_time_saves_up_no_more_than_the_reserve(self):
+    def test_idle_time_accumulates_no_more_than_the_reserve(self):
         budget = RetryBudget()
         for _ in range(1000):
             budget.record_request()
--- a/redwingstream/openings/tests/test_failure_tracking.py
+++ b/redwingstream/openings/tests/test_failure_tracking.py
@@ -66,7 +66,7 @@
             record(number / 10)
         assert not tracker.is_in_doubt
 
-    def test_does_not_begin_with_failures_of_long_ago(self, tracker) -> None:
+    def test_does_not_begin_with_old_failures(self, tracker) -> None:
         for number in range(FAILED_LIMIT):
             tracker.record_failed(number * RECENT_SECONDS)
         assert not tracker.is_in_doubt
@@ -81,7 +81,7 @@
         assert _offer_flows(tracker, 0, 20, share) <= 20 * TRIAL_RATE * 2
         assert tracker.is_in_doubt
 
-    def test_become_more_once_it_serves(self, tracker) -> None:
+    def test_increase_once_it_recovers(self, tracker) -> None:
         """A server that has recovered gets all its flows again within 4 s."""
         _put_in_doubt(tracker, 0)
         _offer_flows(tracker, 0, 10, 1)
--- a/redwingstream/openings/tests/test_gate.py
+++ b/redwingstream/openings/tests/test_gate.py
@@ -30,9 +30,9 @@
 @pytest.fixture
 def gate() -> Gate:
     """A gate that received a report of its server at time 10."""
-    made = Gate(LIMIT, INTERVAL, 0)
-    made.handle_report(REPORT, 10)
-    return made
+    created = Gate(LIMIT, INTERVAL, 0)
+    created.handle_report(REPORT, 10)
+    return created
 
 
 class TestVerdicts:
@@ -73,12 +73,12 @@
     def test_busy(self, gate) -> None:
         assert gate.verdict_for(Load(2, 2), 11) is Verdict.BUSY
 
-    def test_as_many_flows_as_it_holds(self, gate) -> None:
+    def test_max_flows(self, gate) -> None:
         gate.rules = PoolRules(max_flows=7)
         assert gate.verdict_for(Load(0, 6), 11) is Verdict.TAKE
         assert gate.verdict_for(Load(0, 7), 11) is Verdict.MAX_FLOWS
 
-    def test_full_for_a_moment(self, gate) -> None:
+    def test_full_until_the_backoff_ends(self, gate) -> None:
         gate.record_full(11)
         assert gate.verdict_for(IDLE, 11) is Verdict.FULL
         assert gate.verdict_for(IDLE, 11 + FULL_BACKOFF) is Verdict.TAKE
@@ -100,9 +100,7 @@
     """Limit on the new flows of a cold server."""
 
     @pytest.mark.parametrize(('rate', 'allowed'), [(0, 5), (1, 6), (4, 11)])
-    def test_as_many_within_a_second_as_it_bears(
-        self, gate, rate, allowed
-    ) -> None:
+    def test_limit_within_a_second(self, gate, rate, allowed) -> None:
         gate.rules = PoolRules(cold_rate=rate)
         gate.handle_report(attrs.evolve(REPORT, sequence=2, cold_for=3), 11)
         for _ in range(allowed):
@@ -118,7 +116,7 @@
         assert gate.is_cold(11.4)
         assert not gate.is_cold(11.5)
 
-    def test_in_doubt_until_its_next_report(self, gate) -> None:
+    def test_assumed_cold_until_its_next_report(self, gate) -> None:
         gate.assume_cold(11)
         assert gate.is_cold(12)
         gate.handle_report(attrs.evolve(REPORT, sequence=2), 12)
@@ -131,8 +129,10 @@
     def test_none_for_an_idle_server(self, gate) -> None:
         assert gate.expected_wait(IDLE, 11) == 0
 
-    def test_grows_with_what_waits(self, gate) -> None:
-        waits = [gate.expected_wait(Load(some, some), 11) for some in range(6)]
+    def test_grows_with_the_load(self, gate) -> None:
+        waits = [
+            gate.expected_wait(Load(count, count), 11) for count in range(6)
+        ]
         assert waits == sorted(waits)
         assert waits[-1] > 0
 
@@ -154,7 +154,7 @@
         fresh = Gate(LIMIT, INTERVAL, 0)
         assert fresh.expected_wait(IDLE, 1) == pytest.approx(INTERVAL - 1)
 
-    def test_for_ever_when_the_server_drains(self, gate) -> None:
+    def test_infinite_when_the_server_drains(self, gate) -> None:
         draining = attrs.evolve(
             REPORT, sequence=2, readiness=Readiness.DRAINING
         )
@@ -165,12 +165,12 @@
 class TestFailing:
     """Verdict on new flows while the server is in doubt."""
 
-    def test_is_passed_by_while_others_are_asked(self, gate) -> None:
+    def test_is_avoided_in_favour_of_others(self, gate) -> None:
         _fail(gate, 10)
         assert gate.verdict_for(IDLE, 10) is Verdict.FAILING
         assert gate.expected_wait(IDLE, 10) == DOUBT_PENALTY
 
-    def test_begins_anew_with_another_run(self, gate) -> None:
+    def test_doubt_ends_with_a_restart(self, gate) -> None:
         """A restarted server gets new flows at once.
 
         Guards against counting the failures of the previous run, which would
--- a/redwingstream/openings/tests/test_reports.py
+++ b/redwingstream/openings/tests/test_reports.py
@@ -18,20 +18,20 @@
         known.apply_report(FIRST, 10)
         return known
 
-    def test_the_next_report_counts(self, state) -> None:
+    def test_the_next_report_is_applied(self, state) -> None:
         draining = attrs.evolve(FIRST, sequence=6, readiness=Readiness.DRAINING)
         assert state.apply_report(draining, 11)
         assert state.readiness is Readiness.DRAINING
 
     @pytest.mark.parametrize('sequence', [4, 5])
-    def test_a_late_one_does_not(self, state, sequence) -> None:
+    def test_a_late_report_is_ignored(self, state, sequence) -> None:
         late = attrs.evolve(
             FIRST, sequence=sequence, readiness=Readiness.DRAINING
         )
         assert not state.apply_report(late, 11)
         assert state.readiness is Readiness.READY
 
-    def test_a_later_run_begins_its_count_anew(self, state) -> None:
+    def test_a_restarted_server_counts_from_one(self, state) -> None:
         """Reports of a restarted server of the same name count at once.
 
         The server counts its reports from one again.  If they counted as late,
@@ -40,7 +40,7 @@
         again = attrs.evolve(FIRST, born=2000, sequence=1)
         assert state.apply_report(again, 11)
 
-    def test_a_former_run_is_not_heard_any_more(self, state) -> None:
+    def test_a_report_of_a_former_run_is_ignored(self, state) -> None:
         """A report of an ended run does not change the state of the next.
 
         It is delayed and arrives after its sender has ended and another run
@@ -55,9 +55,9 @@
         assert state.mark_leaving('i-1')
         assert state.readiness is Readiness.GONE
 
-    def test_another_server_cannot_leave_for_it(self, state) -> None:
+    def test_leaving_of_another_server_is_ignored(self, state) -> None:
         assert not state.mark_leaving('i-9')
         assert state.readiness is Readiness.READY
 
-    def test_nothing_is_known_before_the_first(self) -> None:
+    def test_readiness_is_unknown_before_the_first_report(self) -> None:
         assert ServerState().readiness is Readiness.UNKNOWN
--- a/redwingstream/openings/wait_estimate.py
+++ b/redwingstream/openings/wait_estimate.py
@@ -25,8 +25,8 @@
 
 COLD_WAIT_FRACTION = 0.05
 """Maximum wait for a cold server, as a fraction of the route's time-out.  The
-few flows that a cold server bears go to callers that have just arrived and get
-their answers in time, not to those whose time-out is near."""
+few flows that a cold server can handle go to callers that have just arrived and
+get their answers in time, not to those whose time-out is near."""
 
 
 def longest_wait(copies: int, timeout: float, *, is_cold: bool) -> float:
