--- a/redwingstream/directory/contacts.py
+++ b/redwingstream/directory/contacts.py
@@ -1,4 +1,4 @@
-"""State that a process keeps for each control instance it asks."""
+"""State that a process keeps for each control instance that it polls."""
 
 from collections.abc import Iterable
 
@@ -8,16 +8,17 @@
 from redwingstream.packets.flow import Address
 
 FIRST_PAUSE = 0.2
-"""Seconds between two inquiries to a control instance that has not said how
-often it wants to be asked."""
+"""Seconds between two inquiries to a control instance that has not yet
+requested a pause."""
 
 BACKOFF_AFTER = 3
 """Consecutive unanswered inquiries after which the pauses start to double."""
 
 MAX_BACKOFF_FACTOR = 4
-"""Longest pause between unanswered inquiries, as a multiple of ``FIRST_PAUSE``.
-Every agent must contact a restarted control instance within ``WARM_AFTER`` of
-its start."""
+"""Longest pause between unanswered inquiries, as a multiple of
+``FIRST_PAUSE``.  Every agent must contact a restarted control instance within
+``MIN_WARMUP`` of its start, after which the instance counts as having heard
+all agents."""
 
 SOURCE_COUNT = 3
 """Number of control instances that a process reads agents' records from; any
@@ -27,13 +28,13 @@
 """Consecutive unanswered inquiries after which a source is replaced by another
 control instance."""
 
-FORGOTTEN_AFTER = 10
+EVICT_AFTER = 10
 """Seconds after which a control instance that neither answers nor is named by
-another one is not asked any more, unless the settings name it."""
+another one is no longer asked, unless the settings name it."""
 
 SPREAD_SHARE = 0.25
-"""Share of the pause by which an inquiry may come sooner or later, so that the
-inquiries to several control instances do not come at once."""
+"""Fraction of the pause by which an inquiry may be moved earlier or later, so
+that inquiries to several control instances are not sent at once."""
 
 _ADDRESS_BYTES = 6
 
@@ -47,11 +48,12 @@
     is_seed : bool
         True when the settings name it.
     named_at : float
-        When it answered, or another one named it.
+        Time at which it last answered or was named by another control
+        instance.
     due_at : float
-        When it is to be asked next.
+        Time of the next inquiry.
     asked_at : float
-        When it was asked last.
+        Time of the last inquiry.
     unanswered : int
         Number of inquiries since its last answer.
     pause : float
@@ -77,7 +79,7 @@
         """Whether its last inquiries have remained unanswered."""
         return self.unanswered >= UNRESPONSIVE_AFTER
 
-    def note_asked(self, now: float) -> None:
+    def record_inquiry(self, now: float) -> None:
         """Record an inquiry and schedule the next one in case of no answer.
 
         The pause backs off exponentially, so that a large fleet does not
@@ -88,7 +90,7 @@
         self.asked_at = now
         self.due_at = now + FIRST_PAUSE * min(2**doublings, MAX_BACKOFF_FACTOR)
 
-    def note_answered(self, pause: float, now: float) -> None:
+    def record_answer(self, pause: float, now: float) -> None:
         """Record an answer and the pause that the instance requests."""
         self.unanswered = 0
         self.named_at = now
@@ -96,68 +98,75 @@
 
 
 class Contacts:
-    """The control instances that a process knows, by address.
+    """The control instances that a process knows.
 
     Parameters
     ----------
     seeds : iterable of Address
-        Those that the settings name.
+        Control instances that the settings name.
     now : float
-        Time of the start in seconds.
+        Current time in seconds, by the event loop's clock.
     salt : int
         Random number of the process; distributes the processes of a fleet over
         the control instances.
+
+    Attributes
+    ----------
+    contact_by_address : dict
+        State of each known control instance.
     """
 
     def __init__(self, seeds: Iterable[Address], now: float, salt: int) -> None:
-        self.by_address = {
+        self.contact_by_address = {
             seed: Contact(is_seed=True, named_at=now, due_at=now)
             for seed in seeds
         }
         self._salt = salt
-        self._planned = now
+        self._last_scheduled_at = now
 
-    def follow_seeds(self, seeds: Iterable[Address], now: float) -> None:
+    def apply_seeds(self, seeds: Iterable[Address], now: float) -> None:
         """Replace the control instances that the settings name."""
         wanted = set(seeds)
-        for address, contact in self.by_address.items():
+        for address, contact in self.contact_by_address.items():
             contact.is_seed = address in wanted
         for seed in wanted:
-            self.note_running(seed, now).is_seed = True
+            self.record_running(seed, now).is_seed = True
 
-    def note_running(self, address: Address, now: float) -> Contact:
+    def record_running(self, address: Address, now: float) -> Contact:
         """Record that a control instance runs and return its contact."""
-        contact = self.by_address.get(address)
+        contact = self.contact_by_address.get(address)
         if contact is None:
             contact = Contact(is_seed=False, named_at=now, due_at=now)
-            self.by_address[address] = contact
+            self.contact_by_address[address] = contact
         contact.named_at = now
         return contact
 
-    def forget_old(self, now: float) -> None:
+    def evict_expired(self, now: float) -> None:
         """Remove contacts that have expired, except seeds."""
-        for address, contact in tuple(self.by_address.items()):
-            is_old = now - contact.named_at > FORGOTTEN_AFTER
+        for address, contact in tuple(self.contact_by_address.items()):
+            is_old = now - contact.named_at > EVICT_AFTER
             if is_old and not contact.is_seed:
-                self.by_address.pop(address)
+                self.contact_by_address.pop(address)
 
-    def plan(self, contact: Contact, now: float) -> None:
+    def schedule(self, contact: Contact, now: float) -> None:
         """Schedule the next inquiry to a control instance that has answered.
 
-        Inquiries are spread evenly over the pause, so that a change is seen
-        soon by one of them.
+        Inquiries are spread evenly over the pause, so that one of them sees a
+        change soon.
         """
         spread = contact.pause * SPREAD_SHARE
-        step = contact.pause / len(self.by_address)
+        step = contact.pause / len(self.contact_by_address)
         earliest = now + contact.pause - spread
         latest = now + contact.pause + spread
-        self._planned = min(max(earliest, self._planned + step), latest)
-        contact.due_at = self._planned
+        self._last_scheduled_at = min(
+            max(earliest, self._last_scheduled_at + step), latest
+        )
+        contact.due_at = self._last_scheduled_at
 
-    def next_due(self) -> float:
+    def next_due_at(self) -> float:
         """Return when the next inquiry is due; infinite without contacts."""
         return min(
-            (contact.due_at for contact in self.by_address.values()),
+            (contact.due_at for contact in self.contact_by_address.values()),
             default=float('inf'),
         )
 
@@ -169,7 +178,7 @@
         Rendezvous hashing keeps the selection stable while the same instances
         answer, so that their records are read in full only once.
         """
-        order = sorted(self.by_address, key=self._rank)
+        order = sorted(self.contact_by_address, key=self._rank)
         return frozenset(order[:SOURCE_COUNT])
 
     def responsive(self, addresses: Iterable[Address]) -> frozenset[Address]:
@@ -177,10 +186,10 @@
         return frozenset(
             address
             for address in addresses
-            if not self.by_address[address].is_unresponsive
+            if not self.contact_by_address[address].is_unresponsive
         )
 
     def _rank(self, address: Address) -> tuple[bool, int]:
         packed = address.to_bytes(_ADDRESS_BYTES)
         digest = xxhash.xxh3_64_intdigest(packed, self._salt)
-        return self.by_address[address].is_unresponsive, digest
+        return self.contact_by_address[address].is_unresponsive, digest
--- a/redwingstream/directory/fleet_record.py
+++ b/redwingstream/directory/fleet_record.py
@@ -1,9 +1,10 @@
-"""What a control instance keeps on its disk for its next start.
+"""Content and schedule of the fleet record on a control instance's disk.
 
-After a loss of power nobody knows anybody but the few control instances that
-the settings name, and the replicas' tables wait for an election.  A control
-instance with a disk remembers whom it served and the newest tables that were
-accepted, so that it can speak first and hand the tables out at once.
+After a power failure, processes know only the few control instances that the
+settings name, and the replicas serve no tables until a leader is elected.  A
+control instance with a disk therefore stores which processes it served and the
+newest tables that were accepted.  At its next start it contacts these
+processes first and serves the tables at once.
 """
 
 import attrs
@@ -14,17 +15,18 @@
 from redwingstream.storage.records import StoredRecord, pack_file, scan_file
 from redwingstream.wire.messages import decode, encode
 
-WRITE_EVERY = 1.0
-"""Seconds between two writes at the least."""
+WRITE_INTERVAL = 1.0
+"""Minimum time in seconds between two writes."""
 
 FAILED_WRITE_PAUSE = 10.0
-"""Seconds without a write after one that has failed."""
+"""Seconds after a failed write until the next attempt."""
 
 MAX_PROCESSES = 4096
-"""Processes that are remembered."""
+"""Maximum number of processes in the record."""
 
-HEARD_WITHIN = 20.0
-"""Seconds since a process was heard for which it is remembered."""
+EVICT_AFTER = 20.0
+"""Seconds after its last inquiry at which a process is dropped from the
+record."""
 
 
 def pack_record(record: FleetRecord) -> bytes:
@@ -34,19 +36,19 @@
 
 
 def unpack_record(name: str, contents: bytes | None) -> FleetRecord:
-    """Read a record back; an empty one where there is none.
+    """Decode a record; return an empty one without a file.
 
     Parameters
     ----------
     name : str
         Name of the file, for the error text.
     contents : bytes or None
-        What the file holds; None without a file.
+        Contents of the file; None without a file.
 
     Raises
     ------
     RedwingstreamError
-        When the file is damaged or another version wrote it.
+        When the file is damaged or was written by another version.
     """
     if not contents:
         return FleetRecord()
@@ -55,46 +57,46 @@
         found = decode(stored.kind, stored.body)
         if isinstance(found, FleetRecord):
             return found
-    raise RedwingstreamError(f'{name} holds no whole record of the fleet')
+    raise RedwingstreamError(f'{name} contains no complete fleet record')
 
 
 class Followers:
-    """The processes that have asked a control instance lately."""
+    """The processes that have recently sent inquiries to a control instance."""
 
     def __init__(self) -> None:
         self._heard_at_by_address: dict[Address, float] = {}
 
     def __len__(self) -> int:
-        """Return the number of remembered processes."""
+        """Return the number of processes that are kept."""
         return len(self._heard_at_by_address)
 
-    def hear(self, address: Address, now: float) -> None:
-        """Note that a process has asked."""
+    def record_inquiry(self, address: Address, now: float) -> None:
+        """Record that a process has sent an inquiry."""
         known = self._heard_at_by_address
         if address in known or len(known) < MAX_PROCESSES:
             known[address] = now
 
-    def present(self, now: float) -> tuple[Address, ...]:
-        """Return the processes that are remembered, in order."""
-        self.forget_old(now)
+    def recent(self, now: float) -> tuple[Address, ...]:
+        """Return the processes that have asked recently, sorted by address."""
+        self.evict_expired(now)
         return tuple(sorted(self._heard_at_by_address))
 
-    def forget_old(self, now: float) -> None:
-        """Remove processes that have not asked within ``HEARD_WITHIN``."""
+    def evict_expired(self, now: float) -> None:
+        """Remove processes that have not asked within ``EVICT_AFTER``."""
         known = self._heard_at_by_address
         for address, heard_at in tuple(known.items()):
-            if now - heard_at > HEARD_WITHIN:
+            if now - heard_at > EVICT_AFTER:
                 known.pop(address)
 
 
 @attrs.define
-class WriteTurn:
+class WriteSchedule:
     """Decides when a record is to be written.
 
     Parameters
     ----------
     written : FleetRecord
-        What stands on the disk; its tables are not looked at.
+        Record on the disk, without its tables.
     next_at : float
         Earliest time of the next write.
     """
@@ -103,14 +105,14 @@
     next_at: float = float('-inf')
 
     def is_due(self, record: FleetRecord, now: float) -> bool:
-        """Whether a record without its tables is to be written now."""
+        """Whether a record, given without its tables, is to be written now."""
         return now >= self.next_at and record != self.written
 
-    def note_written(self, record: FleetRecord, now: float) -> None:
-        """Note that a record, given without its tables, was written."""
+    def record_written(self, record: FleetRecord, now: float) -> None:
+        """Record that a record, given without its tables, was written."""
         self.written = record
-        self.next_at = now + WRITE_EVERY
+        self.next_at = now + WRITE_INTERVAL
 
-    def note_failed(self, now: float) -> None:
-        """Note that a write has failed."""
+    def record_failure(self, now: float) -> None:
+        """Record that a write has failed."""
         self.next_at = now + FAILED_WRITE_PAUSE
--- a/redwingstream/directory/inquiry.py
+++ b/redwingstream/directory/inquiry.py
@@ -1,4 +1,4 @@
-"""Whom a process asks next, and what it makes of the answers."""
+"""Polling of control instances: which to ask next, and their answers."""
 
 import zlib
 from collections.abc import Iterable
@@ -8,7 +8,7 @@
 
 from redwingstream.directory.contacts import Contact, Contacts
 from redwingstream.directory.messages import (
-    UNASKED,
+    UNSOLICITED,
     AgentRecord,
     Inquiry,
     Report,
@@ -23,39 +23,48 @@
 from redwingstream.tables.messages import TablesUpdate
 from redwingstream.telemetry.histogram import Histogram
 
-HURRIED_SHARE = 0.25
-"""Share of the usual pause after which a source is asked again when something
-is waited for.  With 0.1 s in place of 0.4 s its answer comes before the caller
-of a dead flow sends its packet again, after 0.2 s."""
+EXPEDITED_SHARE = 0.25
+"""Fraction of the requested pause after which a source is asked again while a
+caller waits for the result.  With 0.1 s instead of 0.4 s, the answer arrives
+before the caller of a dead flow retransmits its packet after 0.2 s."""
 
-HURRIED_LEAST = 0.1
-"""Seconds between two inquiries at the least, however short the usual pause is:
-without a leader it is 0.1 s by itself, and a fleet that has lost many flows
-must not keep control instances from finding one."""
+MIN_EXPEDITED_PAUSE = 0.1
+"""Minimum time in seconds between two expedited inquiries to a source.
+Without a leader the requested pause itself is 0.1 s, and the inquiries of a
+fleet that has lost many flows must not keep the control instances from
+electing one."""
 
 FETCH_PAUSE = 0.1
-"""Least time in seconds between two inquiries for newer tables.  Prevents the
-same update from being fetched from every control instance at once."""
+"""Minimum time in seconds between two inquiries for newer tables.  Prevents
+the same update from being fetched from every control instance at once."""
 
-_MAX_UPDATE = 33554432
+_MAX_UPDATE_BYTES = 33554432
 
 
 @attrs.frozen
-class Ask:
-    """An inquiry to be sent."""
+class OutgoingInquiry:
+    """An inquiry to be sent.
+
+    Parameters
+    ----------
+    target : Address
+        Control instance to send it to.
+    inquiry : Inquiry
+        The message.
+    """
 
     target: Address
     inquiry: Inquiry
 
 
 @attrs.frozen
-class Learned:
-    """What an answer brought.
+class InquiryResult:
+    """What an answer changed.
 
     Parameters
     ----------
     agents : tuple of Agent
-        Those that are new or have changed.
+        Agents that are new or have changed.
     has_new_tables : bool
         True when the tables are newer than before.
     """
@@ -65,30 +74,42 @@
 
 
 class Inquirer:
-    """Asks control instances in turn for tables and agents.
+    """Polls control instances for tables and agents.
 
     Parameters
     ----------
     seeds : iterable of Address
         Control instances that the settings name.
     pool : str
-        The only pool whose agents are wanted; empty for all.
+        The only pool whose agents are requested; empty for all.
     now : float
-        Time of the start in seconds.
+        Current time in seconds, by the event loop's clock.
     salt : int
         Random number of the process, for the selection of sources.
     wants_agents : bool
         False for a process that needs only the tables.
 
+    Attributes
+    ----------
+    view : AgentView
+        The agents that the sources have reported.
+    history : TablesHistory
+        The newest tables, and earlier changes of them.
+    confirmed_at : float
+        Time at which the tables were last confirmed to be the newest.
+    in_force_seconds : Histogram
+        Seconds from the arrival of tables at a control instance until they
+        were applied here.
+
     Notes
     -----
-    Every control instance that runs is asked in turn, not one of them until it
-    fails.  One that is cut off from the others, or frozen and thawed, answers
-    with what it knew; with several sources the newest tables win, and an agent
-    is silent only when all sources say so.  Agents' records are read from a few
-    sources only, since the records of a large fleet from every control instance
-    would saturate a slow link.  The others report their status: that they run,
-    and the revision of their tables.
+    Every running control instance is polled, instead of one until it fails.
+    An instance that is partitioned from the others, or was suspended and
+    resumed, answers with outdated information; with several sources the newest
+    tables win, and an agent is silent only when all sources report it.
+    Agents' records are read from a few sources only, since the records of a
+    large fleet from every control instance would saturate a slow link.  The
+    others report only that they run, and the revision of their tables.
     """
 
     def __init__(
@@ -105,61 +126,75 @@
         self.confirmed_at = float('-inf')
         self.in_force_seconds = Histogram()
         self._pool = pool
-        self._wanted = Wanted.ALL if wants_agents else Wanted.TABLES
+        self._wanted_of_sources = Wanted.ALL if wants_agents else Wanted.TABLES
         self._number = 1
         self._fetched_at = float('-inf')
         self._contacts = Contacts(seeds, now, salt)
 
     @property
     def controls(self) -> tuple[Address, ...]:
-        """Addresses of the control instances that are asked."""
-        return tuple(self._contacts.by_address)
+        """Addresses of the control instances that are polled."""
+        return tuple(self._contacts.contact_by_address)
 
     @property
     def sources(self) -> frozenset[Address]:
         """Addresses of the control instances that records are read from."""
         return self._contacts.sources()
 
-    def follow_seeds(self, seeds: Iterable[Address], now: float) -> None:
-        """Take the control instances that the settings name now."""
-        self._contacts.follow_seeds(seeds, now)
-
-    def due(self, now: float, record: AgentRecord | None) -> list[Ask]:
-        """Return the inquiries that are due."""
-        if now < self._contacts.next_due():
+    def apply_seeds(self, seeds: Iterable[Address], now: float) -> None:
+        """Replace the control instances that the settings name."""
+        self._contacts.apply_seeds(seeds, now)
+
+    def due_inquiries(
+        self, now: float, record: AgentRecord | None
+    ) -> list[OutgoingInquiry]:
+        """Return the inquiries that are due, and schedule their repetition.
+
+        Parameters
+        ----------
+        now : float
+            Current time in seconds, by the event loop's clock.
+        record : AgentRecord or None
+            Record that an agent sends along; None from other processes.
+        """
+        if now < self._contacts.next_due_at():
             return []
-        self._contacts.forget_old(now)
+        self._contacts.evict_expired(now)
         sources = self.sources
-        self.view.expect_only(self._contacts.responsive(sources))
-        asks = []
-        for address, contact in self._contacts.by_address.items():
+        self.view.expect_controls(self._contacts.responsive(sources))
+        inquiries = []
+        for address, contact in self._contacts.contact_by_address.items():
             if now >= contact.due_at:
-                contact.note_asked(now)
+                contact.record_inquiry(now)
                 wanted = self._pop_wanted(contact, address in sources)
-                asks.append(self._ask(address, wanted, record))
-        return asks
+                inquiries.append(self._make_inquiry(address, wanted, record))
+        return inquiries
 
-    def hurry(self, now: float) -> None:
-        """Ask the sources soon, since something is waited for."""
+    def expedite(self, now: float) -> None:
+        """Make the next inquiries to the sources due sooner than requested."""
         for address in self.sources:
-            contact = self._contacts.by_address[address]
-            pause = max(contact.pause * HURRIED_SHARE, HURRIED_LEAST)
+            contact = self._contacts.contact_by_address[address]
+            pause = max(contact.pause * EXPEDITED_SHARE, MIN_EXPEDITED_PAUSE)
             soon = contact.asked_at + pause
             contact.due_at = min(contact.due_at, max(now, soon))
 
-    def next_due(self) -> float:
-        """Return when the next inquiry is due; infinite without anybody."""
-        return self._contacts.next_due()
+    def next_due_at(self) -> float:
+        """Return when the next inquiry is due; infinite without contacts."""
+        return self._contacts.next_due_at()
 
-    def all(self, record: AgentRecord | None) -> list[Ask]:
-        """Return inquiries to all control instances, due or not."""
+    def inquiries_to_all(
+        self, record: AgentRecord | None
+    ) -> list[OutgoingInquiry]:
+        """Return status inquiries to all control instances, due or not."""
         return [
-            self._ask(address, Wanted.STATUS, record)
-            for address in self._contacts.by_address
+            self._make_inquiry(address, Wanted.STATUS, record)
+            for address in self._contacts.contact_by_address
         ]
 
-    def take(self, answer: Report | Unchanged | Status, now: float) -> Learned:
-        """Take an answer.
+    def handle_answer(
+        self, answer: Report | Unchanged | Status, now: float
+    ) -> InquiryResult:
+        """Apply an answer.
 
         Raises
         ------
@@ -168,37 +203,37 @@
         """
         match answer:
             case Report():
-                return self._take_report(answer, now)
+                return self._handle_report(answer, now)
             case Unchanged():
-                self._take_unchanged(answer, now)
+                self._handle_unchanged(answer, now)
             case Status():
-                self._take_status(answer, now)
-        return Learned()
+                self._handle_status(answer, now)
+        return InquiryResult()
 
-    def _take_report(self, report: Report, now: float) -> Learned:
+    def _handle_report(self, report: Report, now: float) -> InquiryResult:
         records = unpack_records(report.records)
         sender = Address(report.sender)
         for address in map(Address, report.controls):
-            self._contacts.note_running(address, now)
-        contact = self._contacts.note_running(sender, now)
-        if report.number == UNASKED:
+            self._contacts.record_running(address, now)
+        contact = self._contacts.record_running(sender, now)
+        if report.number == UNSOLICITED:
             contact.due_at = now
-            return Learned()
-        contact.note_answered(report.pause, now)
-        self._contacts.plan(contact, now)
+            return InquiryResult()
+        contact.record_answer(report.pause, now)
+        self._contacts.schedule(contact, now)
         agents: list[Agent] = []
         if report.brings is Wanted.ALL:
             contact.boot = report.boot
             contact.cursor = report.cursor
             agents = self.view.handle_records(sender, report.boot, records, now)
             self.view.is_complete |= report.has_heard_all
-        has_new_tables = self._take_update(report)
+        has_new_tables = self._apply_update(report)
         if self.history.tables.revision >= report.revision:
             confirmed_at = now - report.confirmed_age
             self.confirmed_at = max(self.confirmed_at, confirmed_at)
-        return Learned(tuple(agents), has_new_tables)
+        return InquiryResult(tuple(agents), has_new_tables)
 
-    def _take_update(self, report: Report) -> bool:
+    def _apply_update(self, report: Report) -> bool:
         has_new_tables = bool(report.update) and self.history.take(
             unpack_update(report.update)
         )
@@ -206,27 +241,27 @@
             self.in_force_seconds.note(report.revision_age)
         return has_new_tables
 
-    def _take_unchanged(self, answer: Unchanged, now: float) -> None:
-        """Take the answer that nothing is missing here."""
+    def _handle_unchanged(self, answer: Unchanged, now: float) -> None:
+        """Apply the answer that the process is up to date."""
         sender = Address(answer.sender)
-        contact = self._contacts.by_address.get(sender)
+        contact = self._contacts.contact_by_address.get(sender)
         if contact is None or answer.revision > self.history.tables.revision:
-            # It belongs to an inquiry of the last run of this process.
+            # The answer is to an inquiry of an earlier run of this process.
             return
-        contact.note_answered(contact.pause, now)
-        self._contacts.plan(contact, now)
+        contact.record_answer(contact.pause, now)
+        self._contacts.schedule(contact, now)
         self.view.handle_records(sender, contact.boot, (), now)
         self.view.is_complete = True
         confirmed_at = now - answer.confirmed_age
         self.confirmed_at = max(self.confirmed_at, confirmed_at)
 
-    def _take_status(self, answer: Status, now: float) -> None:
-        """Process a status answer; schedule a fetch of newer tables."""
-        contact = self._contacts.by_address.get(Address(answer.sender))
+    def _handle_status(self, answer: Status, now: float) -> None:
+        """Apply a status answer; schedule a fetch of newer tables."""
+        contact = self._contacts.contact_by_address.get(Address(answer.sender))
         if contact is None:
             return
-        contact.note_answered(answer.pause, now)
-        self._contacts.plan(contact, now)
+        contact.record_answer(answer.pause, now)
+        self._contacts.schedule(contact, now)
         if answer.revision <= self.history.tables.revision:
             confirmed_at = now - answer.confirmed_age
             self.confirmed_at = max(self.confirmed_at, confirmed_at)
@@ -239,13 +274,13 @@
         is_fetch = contact.has_newer_tables
         contact.has_newer_tables = False
         if is_source:
-            return self._wanted
+            return self._wanted_of_sources
         return Wanted.TABLES if is_fetch else Wanted.STATUS
 
-    def _ask(
+    def _make_inquiry(
         self, address: Address, wanted: Wanted, record: AgentRecord | None
-    ) -> Ask:
-        contact = self._contacts.by_address[address]
+    ) -> OutgoingInquiry:
+        contact = self._contacts.contact_by_address[address]
         self._number += wanted is Wanted.ALL
         inquiry = Inquiry(
             self._number,
@@ -256,21 +291,21 @@
             record,
             wanted,
         )
-        return Ask(address, inquiry)
+        return OutgoingInquiry(address, inquiry)
 
 
 def pack_update(update: TablesUpdate) -> bytes:
-    """Return tables' changes as compressed bytes.
+    """Return changes of the tables as compressed bytes.
 
     Notes
     -----
-    Rows of one table are much alike: 3,000 routes take 240 kB as msgpack and
-    fit one datagram compressed.
+    Rows of one table are similar: 3,000 routes take 240 kB as msgpack and fit
+    one datagram when compressed.
     """
     return zlib.compress(msgspec.msgpack.encode(update), 1)
 
 
 def unpack_update(packed: bytes) -> TablesUpdate:
-    """Read tables' changes back."""
-    unpacked = zlib.decompressobj().decompress(packed, _MAX_UPDATE)
+    """Decode changes of the tables."""
+    unpacked = zlib.decompressobj().decompress(packed, _MAX_UPDATE_BYTES)
     return msgspec.msgpack.decode(unpacked, type=TablesUpdate)
--- a/redwingstream/directory/messages.py
+++ b/redwingstream/directory/messages.py
@@ -1,4 +1,4 @@
-"""What agents say of themselves, and how processes ask for it."""
+"""Messages between control instances and the processes that poll them."""
 
 import enum
 
@@ -6,8 +6,8 @@
 
 from redwingstream.wire.messages import message
 
-UNASKED = 0
-"""Number of an answer that nobody asked for; inquiries count from 1."""
+UNSOLICITED = 0
+"""Number of a report that answers no inquiry; inquiries count from 1."""
 
 
 class Readiness(enum.IntEnum):
@@ -31,12 +31,13 @@
 
 @attrs.frozen
 class AgentRecord:
-    """What an agent says of itself.
+    """State that an agent reports of itself and its server.
 
     Parameters
     ----------
     address : int
-        Where it takes packets, see :mod:`redwingstream.packets.flow`.
+        Address at which it receives packets, see
+        :mod:`redwingstream.packets.flow`.
     zone : str
         Its availability zone.
     pool : str
@@ -44,11 +45,11 @@
     boot : int
         Random number of this run of the agent.
     sequence : int
-        Counts what this run has said.
+        Number of the record within this run.
     readiness : Readiness
-        As its server reported, or unknown before it has.
+        As its server reported; unknown before the first report.
     is_cold : bool
-        True while its server is warming up.
+        True while its server has just started and is given few new flows.
     """
 
     address: int
@@ -62,16 +63,16 @@
 
 @attrs.frozen
 class HeardRecord:
-    """An agent's record as a control instance has it.
+    """An agent's record as a control instance has received it.
 
     Parameters
     ----------
     record : AgentRecord
-        What the agent said last.
+        Last record of the agent.
     age : float
-        Seconds since it was heard.
+        Seconds since the record was received.
     is_silent : bool
-        True when it has not been heard for a while.
+        True when the agent has not been heard within the silence timeout.
     """
 
     record: AgentRecord
@@ -93,7 +94,7 @@
 
 @message(kind=80)
 class Inquiry:
-    """A process asks a control instance what is new, and says what it is.
+    """Request of a process to a control instance for what is new.
 
     Parameters
     ----------
@@ -102,12 +103,12 @@
     revision : int
         Revision of the tables that the process has.
     boot, cursor : int
-        Which run of the control instance was asked before, and how far its
-        record was read; 0 for the first time.
+        Run of the control instance that was asked before, and the position up
+        to which its records were read; 0 for the first inquiry.
     pool : str
-        The only pool whose agents the process wants; empty for all.
+        The only pool whose agents are requested; empty for all.
     record : AgentRecord or None
-        What an agent says of itself; None from others.
+        The sender's own record, if it is an agent; None from others.
     wanted : Wanted
         Requested content of the answer.
     """
@@ -128,31 +129,31 @@
     Parameters
     ----------
     number : int
-        Of the inquiry; ``UNASKED`` when a control instance that has started
-        speaks first.
+        Number of the inquiry; ``UNSOLICITED`` when a control instance that has
+        started contacts a process first.
     sender : int
         Address of the control instance.
     boot, cursor : int
-        To be named in the next inquiry.
+        To be repeated in the next inquiry.
     records : bytes
         Records that have changed since the cursor, encoded by
         :mod:`redwingstream.directory.packing`.
     update : bytes
-        The tables' changes, packed; empty when there are none.
+        Changes of the tables, packed; empty when there are none.
     revision : int
         Revision of the tables that the control instance has.
     revision_age : float
-        Seconds since it has had that revision.
+        Seconds for which it has had that revision.
     confirmed_age : float
-        Seconds since the control instance last knew that its tables were the
-        newest ones.
+        Seconds since the tables of the control instance were last confirmed to
+        be the newest.
     has_heard_all : bool
         True when it has been up long enough to have heard every reachable
         agent.
     controls : tuple of int
         Addresses of the control instances that run.
     pause : float
-        Seconds after which it wants to be asked again.
+        Requested time in seconds until the next inquiry.
     brings : Wanted
         Content that the inquiry requested.
     """
@@ -174,7 +175,15 @@
 
 @attrs.frozen
 class ReplicaName:
-    """A replica's name and identity, as the control group knows it."""
+    """Name and identity of a replica in the control group.
+
+    Parameters
+    ----------
+    name : str
+        Endpoint of its control instance, as text.
+    identity : int
+        Random number of its data folder.
+    """
 
     name: str
     identity: int
@@ -182,22 +191,22 @@
 
 @message(kind=84)
 class Unchanged:
-    """Short answer to an :class:`Inquiry` that misses nothing.
+    """Short answer to the :class:`Inquiry` of a process that is up to date.
 
-    A control instance gives it once it has been up for long enough to have
+    A control instance gives it only once it has been up long enough to have
     heard all agents.
 
     Parameters
     ----------
     number : int
-        Of the inquiry.
+        Number of the inquiry.
     sender : int
         Address of the control instance.
     revision : int
         Revision of the tables that both have.
     confirmed_age : float
-        Seconds since the control instance last knew that its tables were the
-        newest ones.
+        Seconds since the tables of the control instance were last confirmed to
+        be the newest.
     """
 
     number: int
@@ -213,16 +222,16 @@
     Parameters
     ----------
     number : int
-        Of the inquiry.
+        Number of the inquiry.
     sender : int
         Address of the control instance.
     revision : int
         Revision of the tables that the control instance has.
     confirmed_age : float
-        Seconds since the control instance last knew that its tables were the
-        newest ones.
+        Seconds since the tables of the control instance were last confirmed to
+        be the newest.
     pause : float
-        Seconds after which it wants to be asked again.
+        Requested time in seconds until the next inquiry.
     """
 
     number: int
@@ -234,7 +243,7 @@
 
 @message(kind=82)
 class ControlHello:
-    """A control instance tells the others that it runs.
+    """Periodic message of a control instance to the others that it runs.
 
     Parameters
     ----------
@@ -248,13 +257,13 @@
         Its replica; None without a disk.
     is_fresh : bool
         True when the whole system starts for the first time and its replica
-        knows no group.
+        belongs to no group yet.
     founding : tuple of ReplicaName
-        The first group that it has chosen; empty unless it is the one to do
-        so.
+        The first group that the sender has chosen; empty unless it is the
+        instance that chooses.
     controls : tuple of int
-        The control instances that it has heard lately; empty in most hellos
-        while they are the same.
+        Running control instances that the sender has heard; empty in most
+        hellos while they stay the same.
     """
 
     sender: int
@@ -268,18 +277,18 @@
 
 @message(kind=83)
 class FleetRecord:
-    """Whom a control instance served, and the newest tables accepted.
+    """What a control instance stores on disk of the fleet and the tables.
 
     Parameters
     ----------
     controls : tuple of int
         Addresses of the control instances that ran.
     processes : tuple of int
-        Addresses from which balancers and agents asked.
+        Addresses of the balancers and agents that sent inquiries.
     revision : int
         Revision of the tables.
     tables : bytes
-        A full copy of them, packed.
+        A full copy of the tables, packed.
     """
 
     controls: tuple[int, ...] = ()
--- a/redwingstream/directory/packing.py
+++ b/redwingstream/directory/packing.py
@@ -15,7 +15,7 @@
 from redwingstream.directory.messages import AgentRecord, HeardRecord, Readiness
 from redwingstream.errors import WireError
 
-MAX_UNPACKED = 1048576
+MAX_UNPACKED_BYTES = 1048576
 """Maximum size in bytes of the rows of one answer after decompression."""
 
 MS_PER_SECOND = 1000
@@ -44,7 +44,7 @@
     if not packed:
         return ()
     try:
-        unpacked = zlib.decompressobj().decompress(packed, MAX_UNPACKED)
+        unpacked = zlib.decompressobj().decompress(packed, MAX_UNPACKED_BYTES)
         return tuple(map(_heard, _decoder.decode(unpacked)))
     except (zlib.error, msgspec.DecodeError, UnicodeDecodeError) as error:
         raise WireError(
--- a/redwingstream/directory/tests/test_contacts.py
+++ b/redwingstream/directory/tests/test_contacts.py
@@ -4,7 +4,7 @@
 
 from redwingstream.directory.contacts import (
     FIRST_PAUSE,
-    FORGOTTEN_AFTER,
+    EVICT_AFTER,
     MAX_BACKOFF_FACTOR,
     SOURCE_COUNT,
     UNRESPONSIVE_AFTER,
@@ -32,25 +32,25 @@
         """Guards against repeated full reads of the records."""
         before = contacts.sources()
         for address in before:
-            contacts.by_address[address].note_asked(1)
-            contacts.by_address[address].note_answered(0.4, 1)
-        contacts.note_running(Address(999), 2)
+            contacts.contact_by_address[address].record_inquiry(1)
+            contacts.contact_by_address[address].record_answer(0.4, 1)
+        contacts.record_running(Address(999), 2)
         assert len(before & contacts.sources()) >= SOURCE_COUNT - 1
 
     def test_unresponsive_one_is_replaced(self, contacts) -> None:
         """Guards against a stale view while other instances run."""
         lost = min(contacts.sources())
         for _ in range(UNRESPONSIVE_AFTER):
-            contacts.by_address[lost].note_asked(1)
+            contacts.contact_by_address[lost].record_inquiry(1)
         assert lost not in contacts.sources()
         assert len(contacts.sources()) == SOURCE_COUNT
-        contacts.by_address[lost].note_answered(0.4, 2)
+        contacts.contact_by_address[lost].record_answer(0.4, 2)
         assert lost in contacts.sources()
 
     def test_are_selected_when_none_responds(self, contacts) -> None:
-        for contact in contacts.by_address.values():
+        for contact in contacts.contact_by_address.values():
             for _ in range(UNRESPONSIVE_AFTER):
-                contact.note_asked(1)
+                contact.record_inquiry(1)
         assert len(contacts.sources()) == SOURCE_COUNT
         assert not contacts.responsive(contacts.sources())
 
@@ -60,27 +60,27 @@
 
     def test_doubles_up_to_the_maximum(self, contacts) -> None:
         """Guards against saturating the link of a restarted instance."""
-        contact = contacts.by_address[CONTROLS[0]]
+        contact = contacts.contact_by_address[CONTROLS[0]]
         pauses = []
         for _ in range(9):
-            contact.note_asked(0)
+            contact.record_inquiry(0)
             pauses.append(contact.due_at / FIRST_PAUSE)
         assert pauses[:5] == [1, 1, 1, 1, 2]
         assert set(pauses[5:]) == {MAX_BACKOFF_FACTOR}
 
     def test_ends_with_an_answer(self, contacts) -> None:
-        contact = contacts.by_address[CONTROLS[0]]
+        contact = contacts.contact_by_address[CONTROLS[0]]
         for _ in range(9):
-            contact.note_asked(0)
-        contact.note_answered(0.4, 5)
-        contact.note_asked(6)
+            contact.record_inquiry(0)
+        contact.record_answer(0.4, 5)
+        contact.record_inquiry(6)
         assert contact.due_at == 6 + FIRST_PAUSE
 
 
-class TestForgetting:
+class TestEviction:
     """Expiry of contacts."""
 
     def test_keeps_seeds(self, contacts) -> None:
-        contacts.note_running(Address(999), 0)
-        contacts.forget_old(FORGOTTEN_AFTER + 1)
-        assert set(contacts.by_address) == set(CONTROLS)
+        contacts.record_running(Address(999), 0)
+        contacts.evict_expired(EVICT_AFTER + 1)
+        assert set(contacts.contact_by_address) == set(CONTROLS)
--- a/redwingstream/directory/tests/test_fleet_record.py
+++ b/redwingstream/directory/tests/test_fleet_record.py
@@ -1,14 +1,14 @@
-"""What a control instance keeps of the fleet."""
+"""Content and schedule of a control instance's fleet record."""
 
 import pytest
 
 from redwingstream.directory.fleet_record import (
     FAILED_WRITE_PAUSE,
-    HEARD_WITHIN,
+    EVICT_AFTER,
     MAX_PROCESSES,
-    WRITE_EVERY,
+    WRITE_INTERVAL,
     Followers,
-    WriteTurn,
+    WriteSchedule,
     pack_record,
     unpack_record,
 )
@@ -31,13 +31,13 @@
 
     @pytest.mark.parametrize('size', [1, 7, 12, 20, 30])
     def test_torn_is_an_error(self, size) -> None:
-        """A torn record must not be taken for tables that were accepted."""
+        """Guards against serving tables from a truncated record."""
         with pytest.raises(RedwingstreamError):
             unpack_record('fleet', pack_record(RECORD)[:size])
 
     @pytest.mark.parametrize('place', [9, 14, 22, 30])
     def test_damaged_is_an_error(self, place) -> None:
-        """A flipped bit must not change the tables that are handed out."""
+        """Guards against serving tables that a flipped bit has changed."""
         contents = bytearray(pack_record(RECORD))
         contents[place] ^= 1
         with pytest.raises(RedwingstreamError):
@@ -45,39 +45,39 @@
 
 
 class TestFollowers:
-    """Who has asked lately."""
+    """Processes that have asked recently."""
 
-    def test_forgets_who_is_not_heard_any_more(self) -> None:
+    def test_evicts_expired_processes(self) -> None:
         followers = Followers()
-        followers.hear(Address(1), 0)
-        followers.hear(Address(2), 5)
-        assert followers.present(HEARD_WITHIN + 1) == (Address(2),)
+        followers.record_inquiry(Address(1), 0)
+        followers.record_inquiry(Address(2), 5)
+        assert followers.recent(EVICT_AFTER + 1) == (Address(2),)
 
     def test_is_bounded(self) -> None:
         followers = Followers()
         for number in range(MAX_PROCESSES + 10):
-            followers.hear(Address(number), 0)
-        assert len(followers.present(0)) == MAX_PROCESSES
-
-
-class TestWriteTurn:
-    """When a record is written."""
-
-    def test_comes_when_something_has_changed(self) -> None:
-        turn = WriteTurn()
-        assert turn.is_due(RECORD, 0)
-        turn.note_written(RECORD, 0)
-        assert not turn.is_due(RECORD, WRITE_EVERY)
-
-    def test_is_bounded_while_much_changes(self) -> None:
-        turn = WriteTurn()
-        turn.note_written(FleetRecord(), 0)
-        assert not turn.is_due(RECORD, WRITE_EVERY / 2)
-        assert turn.is_due(RECORD, WRITE_EVERY)
-
-    def test_waits_after_a_write_that_failed(self) -> None:
-        """A full disk must not be written to again and again."""
-        turn = WriteTurn()
-        turn.note_failed(0)
-        assert not turn.is_due(RECORD, FAILED_WRITE_PAUSE / 2)
-        assert turn.is_due(RECORD, FAILED_WRITE_PAUSE)
+            followers.record_inquiry(Address(number), 0)
+        assert len(followers.recent(0)) == MAX_PROCESSES
+
+
+class TestWriteSchedule:
+    """Time of the next write."""
+
+    def test_is_due_after_a_change(self) -> None:
+        schedule = WriteSchedule()
+        assert schedule.is_due(RECORD, 0)
+        schedule.record_written(RECORD, 0)
+        assert not schedule.is_due(RECORD, WRITE_INTERVAL)
+
+    def test_limits_the_rate_of_writes(self) -> None:
+        schedule = WriteSchedule()
+        schedule.record_written(FleetRecord(), 0)
+        assert not schedule.is_due(RECORD, WRITE_INTERVAL / 2)
+        assert schedule.is_due(RECORD, WRITE_INTERVAL)
+
+    def test_waits_after_a_failed_write(self) -> None:
+        """Guards against writing to a full disk again and again."""
+        schedule = WriteSchedule()
+        schedule.record_failure(0)
+        assert not schedule.is_due(RECORD, FAILED_WRITE_PAUSE / 2)
+        assert schedule.is_due(RECORD, FAILED_WRITE_PAUSE)
--- a/redwingstream/directory/tests/test_inquiry.py
+++ b/redwingstream/directory/tests/test_inquiry.py
@@ -1,4 +1,4 @@
-"""What a process makes of the answers of control instances."""
+"""Polling of control instances and handling of their answers."""
 
 import itertools
 
@@ -7,7 +7,7 @@
 
 from redwingstream.directory.inquiry import (
     FETCH_PAUSE,
-    HURRIED_SHARE,
+    EXPEDITED_SHARE,
     Inquirer,
     pack_update,
 )
@@ -45,16 +45,16 @@
 
 
 class TestConfirmation:
-    """Since when tables are known to be the newest."""
+    """Time at which the tables were last confirmed to be the newest."""
 
-    def test_is_of_the_tables_that_the_answer_is_about(self) -> None:
-        """Callers are refused routes that operators have set.
+    def test_needs_the_tables_that_the_answer_is_about(self) -> None:
+        """Guards against refusing callers on routes that operators have set.
 
-        A balancer starts and has no tables.  An answer says that revision 5 is
-        the newest one; the rows themselves come with a later answer.
+        A balancer starts without tables.  An answer names revision 5 as the
+        newest, but the rows themselves arrive with a later answer.
         """
         inquirer = Inquirer((CONTROL,), '', 0)
-        inquirer.take(_report(REVISION), 10)
+        inquirer.handle_answer(_report(REVISION), 10)
         assert inquirer.confirmed_at == float('-inf')
 
     def test_comes_with_the_newest_tables(self) -> None:
@@ -62,44 +62,44 @@
         machine.state.revision = REVISION
         update = pack_update(machine.update_since(0))
         inquirer = Inquirer((CONTROL,), '', 0)
-        inquirer.take(_report(REVISION, update), 10)
+        inquirer.handle_answer(_report(REVISION, update), 10)
         assert inquirer.history.tables.revision == REVISION
         assert inquirer.confirmed_at == 10 - 0.1
 
 
-class TestHurry:
-    """Control instances are asked again because something is waited for."""
+class TestExpedite:
+    """Control instances are asked sooner because a caller waits."""
 
-    def test_asks_sooner_than_usual(self) -> None:
+    def test_asks_sooner_than_requested(self) -> None:
         inquirer = _asked()
-        inquirer.hurry(10.05)
-        assert not inquirer.due(10.05, None)
-        assert inquirer.next_due() == 10 + PAUSE * HURRIED_SHARE
-        assert inquirer.due(10.1, None)
+        inquirer.expedite(10.05)
+        assert not inquirer.due_inquiries(10.05, None)
+        assert inquirer.next_due_at() == 10 + PAUSE * EXPEDITED_SHARE
+        assert inquirer.due_inquiries(10.1, None)
 
-    def test_asks_no_more_often_while_there_is_no_leader(self) -> None:
+    def test_keeps_the_pause_without_a_leader(self) -> None:
         inquirer = _asked(pause=0.1)
-        inquirer.hurry(10.05)
-        assert not inquirer.due(10.05, None)
+        inquirer.expedite(10.05)
+        assert not inquirer.due_inquiries(10.05, None)
 
-    def test_asks_no_more_often_than_a_busy_one_bears(self) -> None:
-        """An instance that wants to be asked less often is asked less often."""
+    def test_respects_a_longer_requested_pause(self) -> None:
+        """An instance that requests a longer pause is asked less often."""
         inquirer = _asked(pause=4)
         asked = 0
         for now in range(11, 27):
-            inquirer.hurry(now)
-            for _ in inquirer.due(now, None):
+            inquirer.expedite(now)
+            for _ in inquirer.due_inquiries(now, None):
                 asked += 1
-                inquirer.take(_with_pause(4), now)
+                inquirer.handle_answer(_with_pause(4), now)
         assert asked == 16
-        inquirer.hurry(26.5)
-        assert not inquirer.due(26.5, None)
+        inquirer.expedite(26.5)
+        assert not inquirer.due_inquiries(26.5, None)
 
 
 def _asked(pause: float = PAUSE) -> Inquirer:
     inquirer = Inquirer((CONTROL,), '', 0)
-    inquirer.due(10, None)
-    inquirer.take(_with_pause(pause), 10)
+    inquirer.due_inquiries(10, None)
+    inquirer.handle_answer(_with_pause(pause), 10)
     return inquirer
 
 
@@ -108,19 +108,19 @@
 
 
 class TestSpread:
-    """Inquiries to several control instances do not come at once."""
+    """Inquiries to several control instances are spread over the pause."""
 
-    def test_no_two_come_together(self) -> None:
-        """Guards against a change that all inquiries miss by a moment."""
+    def test_intervals_are_even(self) -> None:
+        """Guards against a change that all inquiries just miss."""
         controls = tuple(map(Address, range(101, 109)))
         inquirer = Inquirer(controls, '', 0)
         asked_at = []
         for step in range(2000):
             now = step / 100
-            for ask in inquirer.due(now, None):
+            for ask in inquirer.due_inquiries(now, None):
                 asked_at.append(now)
                 answer = attrs.evolve(_with_pause(1.6), sender=ask.target)
-                inquirer.take(answer, now)
+                inquirer.handle_answer(answer, now)
         late = [now for now in asked_at if now > 5]
         gaps = [after - before for before, after in itertools.pairwise(late)]
         assert max(gaps) < 2 * 1.6 / len(controls)
@@ -128,26 +128,26 @@
 
 
 class TestUnchanged:
-    """The short answer that nothing is missing."""
+    """The short answer that the process is up to date."""
 
     def test_confirms_the_tables(self) -> None:
         inquirer = _asked()
         answer = Unchanged(2, CONTROL, revision=0, confirmed_age=0.5)
-        inquirer.take(answer, 20)
+        inquirer.handle_answer(answer, 20)
         assert inquirer.confirmed_at == 20 - 0.5
         assert inquirer.view.is_complete
 
     def test_of_other_tables_confirms_nothing(self) -> None:
-        """Guards against refusals by tables that a restart has lost."""
+        """Guards against refusing flows by tables that a restart has lost."""
         inquirer = Inquirer((CONTROL,), '', 0)
         answer = Unchanged(2, CONTROL, revision=REVISION, confirmed_age=0)
-        inquirer.take(answer, 20)
+        inquirer.handle_answer(answer, 20)
         assert inquirer.confirmed_at == float('-inf')
 
-    def test_of_a_stranger_is_left_alone(self) -> None:
+    def test_of_an_unknown_sender_is_ignored(self) -> None:
         inquirer = _asked()
         answer = Unchanged(2, CONTROL + 1, revision=0, confirmed_age=0)
-        inquirer.take(answer, 20)
+        inquirer.handle_answer(answer, 20)
         assert inquirer.confirmed_at < 20
 
 
@@ -179,22 +179,22 @@
     @pytest.fixture
     def inquirer(self) -> Inquirer:
         made = Inquirer(CONTROLS, '', 0)
-        made.due(0, None)
+        made.due_inquiries(0, None)
         return made
 
     def test_of_the_same_tables_confirms_them(self, inquirer) -> None:
-        inquirer.take(_status(CONTROLS[0], 0), 10)
+        inquirer.handle_answer(_status(CONTROLS[0], 0), 10)
         assert inquirer.confirmed_at == 10 - 0.1
 
     def test_of_newer_tables_confirms_nothing(self, inquirer) -> None:
         """Guards against refusing routes that are only in the newer tables."""
-        inquirer.take(_status(CONTROLS[0], REVISION), 10)
+        inquirer.handle_answer(_status(CONTROLS[0], REVISION), 10)
         assert inquirer.confirmed_at == float('-inf')
 
     def test_of_newer_tables_triggers_a_fetch(self, inquirer) -> None:
         """Guards against delaying a change until a source is asked."""
         other = min(set(CONTROLS) - inquirer.sources)
-        inquirer.take(_status(other, REVISION), 0.1)
+        inquirer.handle_answer(_status(other, REVISION), 0.1)
         assert _wanted(inquirer, 0.1) == {other: Wanted.TABLES}
 
     def test_of_newer_tables_triggers_one_fetch_per_pause(
@@ -203,14 +203,14 @@
         """Guards against fetching an update from every control instance."""
         others = sorted(set(CONTROLS) - inquirer.sources)
         for other in others:
-            inquirer.take(_status(other, REVISION), 0.1)
+            inquirer.handle_answer(_status(other, REVISION), 0.1)
         assert list(_wanted(inquirer, 0.1)) == others[:1]
-        inquirer.take(_status(others[1], REVISION), 0.11 + FETCH_PAUSE)
+        inquirer.handle_answer(_status(others[1], REVISION), 0.11 + FETCH_PAUSE)
         assert others[1] in _wanted(inquirer, 0.11 + FETCH_PAUSE)
 
     def test_does_not_complete_the_view(self, inquirer) -> None:
         """Guards against declaring flows dead from an incomplete view."""
-        inquirer.take(_status(CONTROLS[0], 0), 10)
+        inquirer.handle_answer(_status(CONTROLS[0], 0), 10)
         assert not inquirer.view.is_complete
 
 
@@ -223,8 +223,8 @@
         report = attrs.evolve(
             _report(REVISION), boot=9, cursor=9, brings=Wanted.TABLES
         )
-        inquirer.take(report, 11)
-        ask = inquirer.due(20, None)[0]
+        inquirer.handle_answer(report, 11)
+        ask = inquirer.due_inquiries(20, None)[0]
         assert (ask.inquiry.boot, ask.inquiry.cursor) == (1, 0)
 
 
@@ -233,4 +233,7 @@
 
 
 def _wanted(inquirer: Inquirer, now: float) -> dict[Address, Wanted]:
-    return {ask.target: ask.inquiry.wanted for ask in inquirer.due(now, None)}
+    return {
+        ask.target: ask.inquiry.wanted
+        for ask in inquirer.due_inquiries(now, None)
+    }
--- a/redwingstream/directory/tests/test_packing.py
+++ b/redwingstream/directory/tests/test_packing.py
@@ -69,7 +69,7 @@
 
 
 class TestDamaged:
-    """Bytes that are no valid packed records."""
+    """Bytes that are not valid packed records."""
 
     @pytest.mark.parametrize(
         'packed',
--- a/redwingstream/directory/tests/test_view.py
+++ b/redwingstream/directory/tests/test_view.py
@@ -1,4 +1,4 @@
-"""What a process makes of several control instances' records."""
+"""The agents, merged from the answers of several control instances."""
 
 import attrs
 import pytest
@@ -9,8 +9,8 @@
     Readiness,
 )
 from redwingstream.directory.view import (
-    FORGOTTEN_AFTER,
-    TRUSTED_FOR,
+    EVICT_AFTER,
+    CONTROL_TIMEOUT,
     AgentView,
 )
 from redwingstream.packets.flow import Address
@@ -32,7 +32,7 @@
 
 
 class TestAgentView:
-    """Opinions that differ."""
+    """Records of two control instances that differ."""
 
     @pytest.fixture
     def view(self) -> AgentView:
@@ -47,45 +47,44 @@
         ]
         assert not view.agents_in_pool('reports')
 
-    def test_one_that_is_cut_off_does_not_decide(self, view) -> None:
-        """An agent is not given up because one control instance lost it.
+    def test_one_partitioned_control_does_not_decide(self, view) -> None:
+        """Guards against giving up an agent that one instance has lost.
 
-        That instance is cut off from the agent and calls it silent, while the
-        other one hears it.
+        A control instance is partitioned from the agent and reports it as
+        silent, while the other one hears it.
         """
         view.handle_records(FIRST, 1, (_silent(),), 12)
         view.handle_records(SECOND, 1, (), 12)
         assert not view.agents_in_pool('feed')[0].is_silent
 
-    def test_silent_when_all_say_so(self, view) -> None:
+    def test_silent_when_all_controls_report_it(self, view) -> None:
         view.handle_records(FIRST, 1, (_silent(),), 12)
         view.handle_records(SECOND, 1, (_silent(),), 12)
         assert view.agents_in_pool('feed')[0].is_silent
 
-    def test_one_that_does_not_answer_is_not_asked_for_long(self, view) -> None:
-        """A dead agent is seen although a control instance died with it.
+    def test_control_without_answers_stops_counting(self, view) -> None:
+        """Guards against a dead agent that a dead instance keeps alive.
 
-        A zone is lost: the agent and one control instance.  What the dead
-        instance last said must not keep the agent alive.
+        A zone is lost, with the agent and one control instance.  The last
+        record of the dead instance must not keep the agent alive.
         """
-        late = 10.1 + TRUSTED_FOR
+        late = 10.1 + CONTROL_TIMEOUT
         view.handle_records(FIRST, 1, (_silent(),), late)
         assert view.agents_in_pool('feed')[0].is_silent
 
-    def test_silence_that_came_before_the_death_counts_later(
-        self, view
-    ) -> None:
-        """As above, but the silence is told before the other one is doubted.
+    def test_refresh_applies_silence_reported_before(self, view) -> None:
+        """Guards against missing a silence reported before the timeout.
 
-        Nothing new is said about the agent afterwards; looking again is what
-        finds it silent.
+        As above, but the agent is reported as silent while the dead control
+        instance still counts.  No further record arrives; only a refresh finds
+        the agent silent.
         """
         view.handle_records(FIRST, 1, (_silent(),), 12)
         view.handle_records(FIRST, 1, (), 14)
         view.refresh(14)
         assert view.agents_in_pool('feed')[0].is_silent
 
-    def test_the_newest_word_of_a_run_counts(self, view) -> None:
+    def test_newest_record_of_a_run_counts(self, view) -> None:
         draining = attrs.evolve(
             RECORD, sequence=2, readiness=Readiness.DRAINING
         )
@@ -93,14 +92,14 @@
         view.handle_records(SECOND, 1, (_heard(),), 11)
         assert view.agents_in_pool('feed')[0].readiness is Readiness.DRAINING
 
-    def test_a_later_run_replaces_a_former_one(self, view) -> None:
+    def test_later_run_replaces_an_earlier_one(self, view) -> None:
         again = attrs.evolve(RECORD, boot=8, pool='reports')
         view.handle_records(FIRST, 1, (_heard(again),), 11)
         view.handle_records(SECOND, 1, (_heard(age=1),), 11)
         assert not view.agents_in_pool('feed')
         assert len(view.agents_in_pool('reports')) == 1
 
-    def test_another_run_of_a_control_instance_begins_anew(self, view) -> None:
+    def test_restarted_control_replaces_its_records(self, view) -> None:
         changed = view.handle_records(FIRST, 2, (_heard(age=0.1),), 11)
         assert not changed
         assert len(view.agents_in_pool('feed')) == 1
@@ -111,26 +110,24 @@
         assert view.all_answered_since(10.5, 12)
         assert not view.all_answered_since(11, 12)
 
-    def test_one_that_gives_no_answer_any_more_is_not_waited_for(
-        self, view
-    ) -> None:
+    def test_ignores_a_control_that_stopped_answering(self, view) -> None:
         view.handle_records(FIRST, 1, (), 11)
-        now = 11 + TRUSTED_FOR + 1
+        now = 11 + CONTROL_TIMEOUT + 1
         view.handle_records(SECOND, 1, (), now)
         assert view.all_answered_since(now - 0.5, now)
 
-    def test_nobody_has_answered_without_control_instances(self) -> None:
+    def test_is_false_without_control_instances(self) -> None:
         assert not AgentView().all_answered_since(0, 1)
 
-    def test_forgets_what_all_have_long_lost(self, view) -> None:
+    def test_evicts_agents_that_all_controls_lost(self, view) -> None:
         view.handle_records(FIRST, 1, (_silent(),), 12)
         view.handle_records(SECOND, 1, (_silent(),), 12)
-        view.refresh(13 + FORGOTTEN_AFTER)
+        view.refresh(13 + EVICT_AFTER)
         assert not view.agents_in_pool('feed')
 
 
-class TestAnsweredSince:
-    """Whether all expected control instances have answered since a time."""
+class TestAllAnsweredSince:
+    """Whether all expected control instances have answered after a time."""
 
     @pytest.fixture
     def view(self) -> AgentView:
@@ -144,15 +141,15 @@
         assert not view.all_answered_since(10, 11)
 
     def test_ignores_one_that_is_no_longer_expected(self, view) -> None:
-        """Guards against late reports of dead flows to callers."""
-        view.expect_only(frozenset((SECOND,)))
+        """Guards against telling callers late that their flows are dead."""
+        view.expect_controls(frozenset((SECOND,)))
         assert view.all_answered_since(10, 11)
 
     def test_requires_an_expected_one_without_an_answer(self, view) -> None:
         """Guards against declaring a flow dead on partial information."""
-        view.expect_only(frozenset((SECOND, Address(103))))
+        view.expect_controls(frozenset((SECOND, Address(103))))
         assert not view.all_answered_since(10, 11)
 
     def test_is_false_when_none_is_expected(self, view) -> None:
-        view.expect_only(frozenset())
+        view.expect_controls(frozenset())
         assert not view.all_answered_since(9, 11)
--- a/redwingstream/fleet/__init__.py
+++ b/redwingstream/fleet/__init__.py
@@ -1,22 +1,28 @@
-"""The roles that forward flows packet by packet: sockets, timers and their end.
+"""Processes of the roles that forward flows packet by packet.
+
+They open the sockets, run the periodic tasks, and connect the messages of
+:mod:`redwingstream.directory` to the modules that decide.
 
 Modules
 -------
 deployment
-    What a process is told at its start.
+    Settings of a process.
 process, delays
-    What every role has: log, signals, duties; whether it has stood still.
+    Parts that every role has: event log, signals, periodic tasks, and
+    detection of times in which the process did not run.
 balancer, agent, control
     The roles.
-following, routes, sending
-    What balancers and agents do alike: ask control instances, go by tables,
-    send.
-reporting
-    What an agent does with its server's reports.
-registry, replication, outcomes
-    What a control instance answers, and what becomes of changes.
+control_client, routes, packet_sender
+    Parts that balancers and agents share: polling of control instances, use of
+    the tables, sending of packets.
+server_reports, server_probe
+    Reports of the backend server beside an agent, and the check whether its
+    process has ended.
+inquiry_handler, replication, outcomes, fleet_record_store
+    Parts of a control instance: answers to inquiries, its replica, the wait
+    for the outcome of a change, and the fleet record on its disk.
 events
-    What changes what a process believes.
+    Log events of changes in what a process knows.
 observed
-    Counters, gauges and histograms of each role.
+    Metrics of each role.
 """
--- a/redwingstream/fleet/agent.py
+++ b/redwingstream/fleet/agent.py
@@ -1,10 +1,10 @@
-"""The agent: sockets and timers round the carrying of packets."""
+"""The agent process: sockets and timers around the flows of its server."""
 
 import asyncio
 import contextlib
 from collections.abc import AsyncIterator
 
-from redwingstream.directory.inquiry import Inquirer, Learned
+from redwingstream.directory.inquiry import Inquirer, InquiryResult
 from redwingstream.directory.messages import AgentRecord
 from redwingstream.errors import SettingError, WireError
 from redwingstream.fleet.deployment import (
@@ -12,12 +12,12 @@
     DEFAULT_IDLE_TIMEOUT,
     LocalServer,
 )
-from redwingstream.fleet.following import Following
-from redwingstream.fleet.process import Duty, Process
-from redwingstream.fleet.reporting import Reporting
+from redwingstream.fleet.control_client import ControlClient
+from redwingstream.fleet.process import PeriodicTask, Process
+from redwingstream.fleet.server_reports import ServerReportHandler
 from redwingstream.fleet.routes import (
-    note_agents,
-    note_tables,
+    log_agents,
+    log_tables,
     routes_by_service,
 )
 from redwingstream.fleet.packet_sender import PacketSender
@@ -31,45 +31,45 @@
 from redwingstream.wire.datagrams import open_datagrams
 
 REPEAT_AFTER = 0.05
-"""Seconds until a stopping agent repeats its last record, in case a datagram is
-lost."""
+"""Seconds after which a stopping agent sends its last record again, in case a
+datagram was lost."""
 
-HOUSEKEEPING = 0.25
-"""Seconds between two looks at old flows."""
+HOUSEKEEPING_INTERVAL = 0.25
+"""Seconds between two checks for expired flows."""
 
-RELEASE_EVERY = 0.02
-"""Seconds between two looks at new flows that wait: half of the time in which a
-server ends a request."""
+RELEASE_INTERVAL = 0.02
+"""Seconds between two checks for new flows that wait: half of the time in
+which a server completes a request."""
 
 
 class Agent:
-    """One agent.
+    """An agent process.
 
     Parameters
     ----------
     process : Process
-        Log, clock and stop.
+        Settings, log and clock.
     codec : PacketCodec
-        Reads packets.
+        Decodes packets.
     """
 
     def __init__(self, process: Process, codec: PacketCodec) -> None:
         deployment = process.deployment
-        beside = deployment.local_server
+        local_server = deployment.local_server
         packets = deployment.listening.packets
-        if beside is None or packets is None:
+        if local_server is None or packets is None:
             raise SettingError(
                 'an agent needs a server beside it and an address for '
                 'packets; the settings name none',
             )
         self.process = process
-        self._beside: LocalServer = beside
+        self._local_server: LocalServer = local_server
         self._sequence = 0
-        self._releasing: asyncio.TimerHandle | None = None
+        self._release_timer: asyncio.TimerHandle | None = None
         self._address = address_of(packets.host, packets.port)
         inquirer = Inquirer(
             deployment.seed_addresses,
-            beside.pool,
+            local_server.pool,
             process.clock(),
             process.codec.boot,
         )
@@ -78,15 +78,15 @@
             deployment.report_interval,
             process.started_at,
         )
-        self.following = Following(
+        self.control_client = ControlClient(
             inquirer,
             process.codec,
-            self._learn,
+            self._handle_result,
             process.log.write,
             self._make_record,
         )
         self.context = AgentContext(
-            AgentLocation(self._address, deployment.zone, beside.pool),
+            AgentLocation(self._address, deployment.zone, local_server.pool),
             codec,
             self.gate,
             inquirer.view,
@@ -94,16 +94,16 @@
             process.log.write,
         )
         self.forwarder = AgentForwarder(self.context, process.started_at)
-        self.server_reports = Reporting(
+        self.server_reports = ServerReportHandler(
             process,
-            beside.pool,
+            local_server.pool,
             self.gate,
             self.context.flows,
-            self.following.tell_all,
+            self.control_client.send_to_all,
         )
-        self.outlet = PacketSender(packets.port, beside.server)
-        process.when_reloaded(
-            lambda fresh: self.following.follow_seeds(fresh.seed_addresses)
+        self.packet_sender = PacketSender(packets.port, local_server.server)
+        process.on_reload(
+            lambda fresh: self.control_client.apply_seeds(fresh.seed_addresses)
         )
 
     @contextlib.asynccontextmanager
@@ -112,34 +112,35 @@
         deployment = self.process.deployment
         with (
             open_datagrams(
-                deployment.listening.packets, self._take_packet
+                deployment.listening.packets, self._handle_packet
             ) as packets,
             open_datagrams(
-                deployment.listening.outbound, self._take_from_server
+                deployment.listening.outbound, self._handle_server_packet
             ),
             open_datagrams(
-                deployment.internal(AGENT_OFFSET), self._take_internal
+                deployment.internal_endpoint(AGENT_OFFSET),
+                self._handle_internal,
             ) as inside,
         ):
-            self.outlet.attach(callers=packets, peers=packets)
-            self.following.attach(inside)
+            self.packet_sender.attach(callers=packets, peers=packets)
+            self.control_client.attach(inside)
             with self.process.running(
-                Duty('following', self.following.tick),
-                Duty('housekeeping', self._keep_house),
+                PeriodicTask('following', self.control_client.tick),
+                PeriodicTask('housekeeping', self._run_housekeeping),
             ):
                 yield self
 
     async def prepare_stop(self) -> None:
         """Report to the control instances whether the server has ended.
 
-        A flow is declared dead only once every agent that may hold it has
+        A flow is declared dead only once every agent that may carry it has
         answered.  A stopped agent does not answer, so it must be excluded if
         its server has ended.
         """
-        await self.server_reports.check_server_ended(self._beside.server)
-        self.following.tell_all()
+        await self.server_reports.check_server_ended(self._local_server.server)
+        self.control_client.send_to_all()
         await asyncio.sleep(REPEAT_AFTER)
-        self.following.tell_all()
+        self.control_client.send_to_all()
 
     def _make_record(self) -> AgentRecord:
         now = self.process.clock()
@@ -147,17 +148,17 @@
         return AgentRecord(
             self._address,
             self.process.deployment.zone,
-            self._beside.pool,
+            self._local_server.pool,
             self.process.codec.boot,
             self._sequence,
             self.gate.state.readiness,
             self.gate.is_cold(now),
         )
 
-    def _learn(self, learned: Learned) -> None:
-        inquirer = self.following.inquirer
-        note_agents(self.process, learned.agents)
-        if not learned.has_new_tables:
+    def _handle_result(self, result: InquiryResult) -> None:
+        inquirer = self.control_client.inquirer
+        log_agents(self.process, result.agents)
+        if not result.has_new_tables:
             return
         tables = inquirer.history.tables
         self.context.refusals.revision = tables.revision
@@ -165,25 +166,25 @@
             self.context.flows.extend_idle_timeout(
                 tables.generation.idle_timeout
             )
-        self._set_around(tables)
-        note_tables(self.process, inquirer)
+        self._apply_pool_rules(tables)
+        log_tables(self.process, inquirer)
 
-    def _set_around(self, tables: Tables) -> None:
-        around = PoolRules.from_tables(
-            tables, self._beside.pool, self.process.deployment.zone
+    def _apply_pool_rules(self, tables: Tables) -> None:
+        rules = PoolRules.from_tables(
+            tables, self._local_server.pool, self.process.deployment.zone
         )
-        if self.gate.rules.is_zone_out and not around.is_zone_out:
+        if self.gate.rules.is_zone_out and not rules.is_zone_out:
             self.gate.assume_cold(self.process.clock())
-        self.gate.rules = around
+        self.gate.rules = rules
         self.context.timeout_by_service = {
             service: route.rules.timeout
             for service, route in routes_by_service(tables).items()
-            if self._beside.pool in route.pools
+            if self._local_server.pool in route.pools
         }
 
-    def _take_packet(self, datagram: bytes, source: tuple[str, int]) -> None:
+    def _handle_packet(self, datagram: bytes, source: tuple[str, int]) -> None:
         try:
-            sending = self.forwarder.handle_envelope(
+            outgoing = self.forwarder.handle_envelope(
                 unpack_envelope(datagram),
                 address_of(*source),
                 self.process.clock(),
@@ -191,34 +192,40 @@
         except WireError:
             self.context.counters.malformed += 1
             return
-        self.outlet.send_all(sending)
-        self._release_soon()
+        self.packet_sender.send_all(outgoing)
+        self._schedule_release()
 
-    def _release_soon(self) -> None:
-        if len(self.context.waiting) and self._releasing is None:
+    def _schedule_release(self) -> None:
+        if len(self.context.waiting) and self._release_timer is None:
             loop = asyncio.get_running_loop()
-            self._releasing = loop.call_later(RELEASE_EVERY, self._release)
+            self._release_timer = loop.call_later(
+                RELEASE_INTERVAL, self._release_waiting
+            )
 
-    def _release(self) -> None:
-        self._releasing = None
-        self.outlet.send_all(
+    def _release_waiting(self) -> None:
+        self._release_timer = None
+        self.packet_sender.send_all(
             self.forwarder.process_waiting(self.process.clock())
         )
-        self._release_soon()
+        self._schedule_release()
 
-    def _take_from_server(self, packet: bytes, source: tuple[str, int]) -> None:
+    def _handle_server_packet(
+        self, packet: bytes, source: tuple[str, int]
+    ) -> None:
         try:
-            sending = self.forwarder.handle_server_packet(
+            outgoing = self.forwarder.handle_server_packet(
                 packet, self.process.clock()
             )
         except WireError:
             self.context.counters.malformed += 1
             return
-        self.outlet.send_all(sending)
+        self.packet_sender.send_all(outgoing)
 
-    def _take_internal(self, datagram: bytes, source: tuple[str, int]) -> None:
-        self.following.receive(datagram, source)
+    def _handle_internal(
+        self, datagram: bytes, source: tuple[str, int]
+    ) -> None:
+        self.control_client.receive(datagram, source)
 
-    def _keep_house(self, now: float) -> float:
-        self.outlet.send_all(self.forwarder.tick(now))
-        return HOUSEKEEPING
+    def _run_housekeeping(self, now: float) -> float:
+        self.packet_sender.send_all(self.forwarder.tick(now))
+        return HOUSEKEEPING_INTERVAL
--- a/redwingstream/fleet/balancer.py
+++ b/redwingstream/fleet/balancer.py
@@ -1,21 +1,21 @@
-"""The balancer: sockets and timers round the steering of packets."""
+"""The balancer process: sockets and timers around the routing of packets."""
 
 import asyncio
 import contextlib
 from collections.abc import AsyncIterator
 
-from redwingstream.directory.inquiry import Inquirer, Learned
+from redwingstream.directory.inquiry import Inquirer, InquiryResult
 from redwingstream.errors import WireError
 from redwingstream.fleet.deployment import (
     BALANCER_OFFSET,
     DEFAULT_IDLE_TIMEOUT,
     Deployment,
 )
-from redwingstream.fleet.following import Following
-from redwingstream.fleet.process import Duty, Process, ProcessReady
+from redwingstream.fleet.control_client import ControlClient
+from redwingstream.fleet.process import PeriodicTask, Process, ProcessReady
 from redwingstream.fleet.routes import (
-    note_agents,
-    note_tables,
+    log_agents,
+    log_tables,
     routes_by_service,
 )
 from redwingstream.fleet.packet_sender import PacketSender
@@ -24,43 +24,44 @@
 from redwingstream.packets.balancer_forwarder import BalancerForwarder
 from redwingstream.wire.datagrams import open_datagrams
 
-HOUSEKEEPING = 0.2
-"""Seconds between two looks at old flows and silent agents."""
+HOUSEKEEPING_INTERVAL = 0.2
+"""Seconds between two checks for expired flows and silent agents."""
 
-UNCONFIRMED_AFTER = 2.0
-"""Seconds after its start from which a balancer serves by tables of which
-nobody knows whether they are the newest: the control instances have no leader
-then, and open flows need somebody."""
+UNCONFIRMED_TABLES_AFTER = 2.0
+"""Seconds after its start from which a balancer serves by tables that are not
+confirmed to be the newest: the control instances have no leader then, and
+established flows still need a balancer."""
 
-LEAVING = 2.5
-"""Seconds for which a balancer goes on forwarding when it is asked to stop: the
-fabric asks twice a second and takes it out after two refusals."""
+STOP_DELAY = 2.5
+"""Seconds for which a balancer keeps forwarding after a request to stop: the
+fabric checks readiness twice a second and stops sending packets after two
+refusals."""
 
 EXIT_MARGIN = 1.0
-"""Seconds before the end of the grace period by which it has stopped."""
+"""Seconds before the end of the grace period by which forwarding ends."""
 
 
 class Balancer:
-    """One balancer.
+    """A balancer process.
 
     Parameters
     ----------
     process : Process
-        Log, clock and stop.
+        Settings, log and clock.
     codec : PacketCodec
-        Reads packets.
+        Decodes packets.
     """
 
     def __init__(self, process: Process, codec: PacketCodec) -> None:
         deployment = process.deployment
         self.process = process
         self._ready_logged = False
-        own = deployment.internal(BALANCER_OFFSET)
+        own = deployment.internal_endpoint(BALANCER_OFFSET)
         inquirer = Inquirer(
             deployment.seed_addresses, '', process.clock(), process.codec.boot
         )
-        self.following = Following(
-            inquirer, process.codec, self._learn, process.log.write
+        self.control_client = ControlClient(
+            inquirer, process.codec, self._handle_result, process.log.write
         )
         self.forwarder = BalancerForwarder(
             address_of(own.host, own.port),
@@ -70,17 +71,17 @@
             process.log.write,
             DEFAULT_IDLE_TIMEOUT,
         )
-        self.outlet = PacketSender(_port(deployment))
-        process.when_reloaded(
-            lambda fresh: self.following.follow_seeds(fresh.seed_addresses)
+        self.packet_sender = PacketSender(_port(deployment))
+        process.on_reload(
+            lambda fresh: self.control_client.apply_seeds(fresh.seed_addresses)
         )
 
     @property
     def is_ready(self) -> bool:
-        """Whether it may be sent packets."""
+        """Whether the fabric may send packets to this balancer."""
         if self.process.stopping.is_set() or not self._has_tables:
             return False
-        self._note_ready()
+        self._log_ready()
         return True
 
     @contextlib.asynccontextmanager
@@ -88,75 +89,79 @@
         """Open the sockets and run until the end of the block."""
         deployment = self.process.deployment
         packets = deployment.listening.packets
-        internal = deployment.internal(BALANCER_OFFSET)
+        internal = deployment.internal_endpoint(BALANCER_OFFSET)
         with (
-            open_datagrams(packets, self._take_packet) as outside,
-            open_datagrams(internal, self._take_internal) as inside,
+            open_datagrams(packets, self._handle_packet) as outside,
+            open_datagrams(internal, self._handle_internal) as inside,
         ):
-            self.outlet.attach(callers=outside, peers=inside)
-            self.following.attach(inside)
+            self.packet_sender.attach(callers=outside, peers=inside)
+            self.control_client.attach(inside)
             with self.process.running(
-                Duty('following', self.following.tick),
-                Duty('housekeeping', self._keep_house),
+                PeriodicTask('following', self.control_client.tick),
+                PeriodicTask('housekeeping', self._run_housekeeping),
             ):
                 yield self
 
     async def prepare_stop(self) -> None:
-        """Go on forwarding until the fabric has taken this balancer out."""
+        """Keep forwarding until the fabric has stopped sending packets."""
         grace = self.process.deployment.grace_seconds
-        await asyncio.sleep(max(0, min(LEAVING, grace - EXIT_MARGIN)))
+        await asyncio.sleep(max(0, min(STOP_DELAY, grace - EXIT_MARGIN)))
 
     @property
     def _has_tables(self) -> bool:
-        inquirer = self.following.inquirer
+        inquirer = self.control_client.inquirer
         if inquirer.history.tables.generation is None:
             return False
         if inquirer.view.is_complete and inquirer.confirmed_at > float('-inf'):
             return True
         age = self.process.clock() - self.process.started_at
-        return age >= UNCONFIRMED_AFTER
+        return age >= UNCONFIRMED_TABLES_AFTER
 
-    def _note_ready(self) -> None:
+    def _log_ready(self) -> None:
         if not self._ready_logged:
             self._ready_logged = True
             after = self.process.clock() - self.process.started_at
             self.process.log.write(ProcessReady(round(after, 3)))
 
-    def _learn(self, learned: Learned) -> None:
-        inquirer = self.following.inquirer
+    def _handle_result(self, result: InquiryResult) -> None:
+        inquirer = self.control_client.inquirer
         self.forwarder.routes.confirmed_at = inquirer.confirmed_at
-        note_agents(self.process, learned.agents)
-        if learned.has_new_tables:
-            self._go_by_newest()
-        # Newer tables come first: by older ones a flow of a pool that serves
-        # its route since is taken for dead.
+        log_agents(self.process, result.agents)
+        if result.has_new_tables:
+            self._apply_newest_tables()
+        # Newer tables are applied first: by older ones, a flow whose route was
+        # moved to the pool that serves it would be declared dead.
         now = self.process.clock()
-        self.outlet.send_all(self.forwarder.reset_dead_flows(now))
-        if learned.agents or learned.has_new_tables:
-            self.outlet.send_all(self.forwarder.retry_early(now))
+        self.packet_sender.send_all(self.forwarder.reset_dead_flows(now))
+        if result.agents or result.has_new_tables:
+            self.packet_sender.send_all(self.forwarder.retry_early(now))
 
-    def _go_by_newest(self) -> None:
-        inquirer = self.following.inquirer
+    def _apply_newest_tables(self) -> None:
+        inquirer = self.control_client.inquirer
         tables = inquirer.history.tables
         self.forwarder.apply_tables(tables, routes_by_service(tables))
         if tables.generation is not None:
             self.forwarder.hints.age = tables.generation.idle_timeout
-        note_tables(self.process, inquirer)
+        log_tables(self.process, inquirer)
 
-    def _take_packet(self, packet: bytes, source: tuple[str, int]) -> None:
+    def _handle_packet(self, packet: bytes, source: tuple[str, int]) -> None:
         try:
-            sending = self.forwarder.handle_packet(packet, self.process.clock())
+            outgoing = self.forwarder.handle_packet(
+                packet, self.process.clock()
+            )
         except WireError:
             self.forwarder.counters.malformed += 1
             return
-        self.outlet.send_all(sending)
+        self.packet_sender.send_all(outgoing)
 
-    def _take_internal(self, datagram: bytes, source: tuple[str, int]) -> None:
+    def _handle_internal(
+        self, datagram: bytes, source: tuple[str, int]
+    ) -> None:
         if not datagram or datagram[0] != MAGIC:
-            self.following.receive(datagram, source)
+            self.control_client.receive(datagram, source)
             return
         try:
-            sending = self.forwarder.handle_envelope(
+            outgoing = self.forwarder.handle_envelope(
                 unpack_envelope(datagram),
                 address_of(*source),
                 self.process.clock(),
@@ -164,19 +169,19 @@
         except WireError:
             self.forwarder.counters.malformed += 1
             return
-        self.outlet.send_all(sending)
-        self._hurry()
+        self.packet_sender.send_all(outgoing)
+        self._expedite_inquiries()
 
-    def _hurry(self) -> None:
+    def _expedite_inquiries(self) -> None:
         if self.forwarder.dead_flows.has_unproved:
-            self.following.hurry()
+            self.control_client.expedite()
 
-    def _keep_house(self, now: float) -> float:
-        self.outlet.send_all(self.forwarder.tick(now))
-        self._hurry()
-        view = self.following.inquirer.view
+    def _run_housekeeping(self, now: float) -> float:
+        self.packet_sender.send_all(self.forwarder.tick(now))
+        self._expedite_inquiries()
+        view = self.control_client.inquirer.view
         self.forwarder.trust.retain_only(view.agent_by_address)
-        return HOUSEKEEPING
+        return HOUSEKEEPING_INTERVAL
 
 
 def _port(deployment: Deployment) -> int:
--- a/redwingstream/fleet/control.py
+++ b/redwingstream/fleet/control.py
@@ -1,4 +1,4 @@
-"""The control instance: sockets and timers round replica and registry."""
+"""The control instance process: sockets and timers around its replica."""
 
 import contextlib
 from collections.abc import AsyncIterator
@@ -6,8 +6,11 @@
 import attrs
 
 from redwingstream.consensus.messages import ReplicaMessage
-from redwingstream.directory.book import AgentBook
-from redwingstream.directory.controls import HELLO_EVERY, Controls
+from redwingstream.directory.agent_directory import AgentDirectory
+from redwingstream.directory.control_directory import (
+    HELLO_INTERVAL,
+    ControlDirectory,
+)
 from redwingstream.directory.inquiry import Inquirer
 from redwingstream.directory.messages import (
     ControlHello,
@@ -19,10 +22,10 @@
 from redwingstream.errors import WireError
 from redwingstream.fleet.deployment import CONTROL_OFFSET
 from redwingstream.fleet.events import AgentSilent
-from redwingstream.fleet.following import Following
-from redwingstream.fleet.outcomes import Waiter
-from redwingstream.fleet.process import Duty, Process
-from redwingstream.fleet.registry import Registry, TableSource
+from redwingstream.fleet.control_client import ControlClient
+from redwingstream.fleet.outcomes import OutcomeWaiter
+from redwingstream.fleet.process import PeriodicTask, Process
+from redwingstream.fleet.inquiry_handler import InquiryHandler, TableSource
 from redwingstream.fleet.replication import Replication
 from redwingstream.packets.flow import (
     Address,
@@ -34,50 +37,57 @@
 from redwingstream.tables.machine.replacements import split_replacement
 from redwingstream.wire.datagrams import DatagramSocket, open_datagrams
 
-TICK = 0.05
-"""Seconds between two looks at timers: half of a heartbeat."""
+TICK_INTERVAL = 0.05
+"""Seconds between two ticks of the timers: half of a heartbeat."""
 
 
 class Control:
-    """One control instance.
+    """A control instance process.
 
     Parameters
     ----------
     process : Process
-        Log, clock and stop.
+        Settings, log and clock.
+
+    Attributes
+    ----------
+    agents : AgentDirectory
+        The agents that this instance hears.
+    replication : Replication
+        The replica of this instance.
     """
 
     def __init__(self, process: Process) -> None:
         deployment = process.deployment
-        endpoint = deployment.internal(CONTROL_OFFSET)
+        endpoint = deployment.internal_endpoint(CONTROL_OFFSET)
         own = address_of(endpoint.host, endpoint.port)
         now = process.clock()
         self.process = process
-        self._own = own
-        self.book = AgentBook()
-        self._controls = Controls(own, deployment.seed_addresses)
+        self._own_address = own
+        self.agents = AgentDirectory()
+        self._controls = ControlDirectory(own, deployment.seed_addresses)
         self.replication = Replication(process, self._send)
-        self._registry = Registry(
+        self._inquiry_handler = InquiryHandler(
             own,
             process.codec.boot,
             now,
-            self.book,
+            self.agents,
             self._controls,
-            self.replication.memory.followers,
+            self.replication.fleet_records.followers,
         )
         self._inquirer = Inquirer(
             (), '', now, process.codec.boot, wants_agents=False
         )
-        self._following = Following(
+        self._control_client = ControlClient(
             self._inquirer,
             process.codec,
-            lambda learned: None,
+            lambda result: None,
             process.log.write,
         )
         self._socket: DatagramSocket | None = None
-        self._next_hello = now
-        process.when_reloaded(
-            lambda fresh: self._controls.follow_seeds(fresh.seed_addresses)
+        self._next_hello_at = now
+        process.on_reload(
+            lambda fresh: self._controls.apply_seeds(fresh.seed_addresses)
         )
 
     async def replace(self, replacement: Replacement) -> None:
@@ -90,13 +100,13 @@
         CallFailedError
             When it is not known whether it will come into force.
         """
-        replica = self.replication.leading()
+        replica = self.replication.leading_replica()
         version = replacement.generation.version
         current = replica.machine.state.generation
         if current is not None and version <= current.version:
             return
         commands = split_replacement(replacement)
-        await self.replication.accept(f'version {version}', commands)
+        await self.replication.propose_and_wait(f'version {version}', commands)
 
     async def mark_zone(self, zone: str, *, out: bool) -> None:
         """Take an availability zone out of service or back in.
@@ -107,7 +117,7 @@
             As :meth:`replace`.
         """
         what = f'zone {zone} {"out" if out else "in"}'
-        await self.replication.accept(what, (MarkZone(zone, out),))
+        await self.replication.propose_and_wait(what, (MarkZone(zone, out),))
 
     async def read_document(self) -> bytes:
         """Return the configuration in force as operators wrote it.
@@ -115,116 +125,128 @@
         Raises
         ------
         NotLeaderError, CallFailedError
-            When another instance has to be asked, or nobody can say which
-            configuration is the newest.
+            When another instance has to be asked, or no majority confirms
+            which configuration is the newest.
         """
-        replica = self.replication.leading()
-        waiter = Waiter()
-        replica.read(waiter.take)
+        replica = self.replication.leading_replica()
+        waiter = OutcomeWaiter()
+        replica.read(waiter.set_outcome)
         await waiter.wait()
         return replica.machine.state.document
 
     @contextlib.asynccontextmanager
     async def opened(self) -> AsyncIterator['Control']:
         """Open socket and disk and run until the end of the block."""
-        endpoint = self.process.deployment.internal(CONTROL_OFFSET)
+        endpoint = self.process.deployment.internal_endpoint(CONTROL_OFFSET)
         with (
             contextlib.closing(self.replication),
             open_datagrams(endpoint, self.receive) as datagrams,
         ):
             self.attach(datagrams)
-            with self.process.running(Duty('control', self.tick)):
+            with self.process.running(PeriodicTask('control', self.tick)):
                 yield self
 
     async def prepare_stop(self) -> None:
-        """Hand leadership over."""
+        """Hand leadership over to another replica."""
         await self.replication.hand_over()
 
     def table_source(self, now: float) -> TableSource:
-        """Return where this instance has its tables from."""
+        """Return the tables that this instance serves.
+
+        They are those of its replica; the recorded ones while the replica has
+        applied older ones; without a replica, those of the other instances.
+        """
         replica = self.replication.replica
         if replica is None:
             history = self._inquirer.history
             age = now - self._inquirer.confirmed_at
             return TableSource(history.tables.revision, age, history.since)
         machine = replica.machine
-        recalled = self.replication.memory.history
-        if machine.state.revision < recalled.tables.revision:
+        recorded = self.replication.fleet_records.history
+        if machine.state.revision < recorded.tables.revision:
             return TableSource(
-                recalled.tables.revision, float('inf'), recalled.since
+                recorded.tables.revision, float('inf'), recorded.since
             )
         age = replica.consensus.confirmed_age(now)
         return TableSource(machine.state.revision, age, machine.update_since)
 
     def attach(self, socket: DatagramSocket) -> None:
-        """Send through this socket from now on."""
+        """Set the socket that messages are sent through."""
         self._socket = socket
-        self._following.attach(socket)
+        self._control_client.attach(socket)
 
     def tick(self, now: float) -> float:
-        """Do what is due; return in how many seconds to look again."""
+        """Run what is due.
+
+        Returns
+        -------
+        float
+            Seconds until the next call.
+        """
         self.replication.tick(self._controls.peers(now), now)
-        self._greet_recalled(now)
-        self.replication.remember(self._controls.running(now), now)
+        self._notify_recorded_processes(now)
+        self.replication.write_fleet_record(self._controls.running(now), now)
         if self.replication.replica is None:
-            # Without a disk the tables come from those that have one.
+            # An instance without a disk gets the tables from those with one.
             others = self._controls.running(now)[1:]
-            self._inquirer.follow_seeds(others, now)
-            self._following.tick(now)
-        if now >= self._next_hello:
-            self._next_hello = now + HELLO_EVERY
-            self._say_hello(now)
-        for record in self.book.notice_silence(now):
+            self._inquirer.apply_seeds(others, now)
+            self._control_client.tick(now)
+        if now >= self._next_hello_at:
+            self._next_hello_at = now + HELLO_INTERVAL
+            self._send_hellos(now)
+        for record in self.agents.mark_silent(now):
             silent = AgentSilent(text_of(record.address), record.pool)
             self.process.log.write(silent)
-        return TICK
+        return TICK_INTERVAL
 
     def receive(self, datagram: bytes, source: tuple[str, int]) -> None:
-        """Take a datagram of another process."""
+        """Handle a datagram of another process."""
         try:
             opened = self.process.codec.open(datagram)
         except WireError:
-            self._following.malformed += 1
+            self._control_client.malformed += 1
             return
         now = self.process.clock()
         match opened.payload:
             case Inquiry() as inquiry:
-                self.replication.memory.followers.hear(address_of(*source), now)
+                self.replication.fleet_records.followers.record_inquiry(
+                    address_of(*source), now
+                )
                 tables = self.table_source(now)
-                report = self._registry.answer(inquiry, tables, now)
-                self._send(report, source)
+                answer = self._inquiry_handler.answer(inquiry, tables, now)
+                self._send(answer, source)
             case ControlHello() as hello:
-                self._controls.hear(hello, now)
-                self.replication.found(hello.founding)
+                self._controls.handle_hello(hello, now)
+                self.replication.join_first_group(hello.founding)
             case Report() | Unchanged() | Status() as answer:
-                self._following.take(answer)
+                self._control_client.handle_answer(answer)
             case message if isinstance(message, ReplicaMessage):
                 self.replication.receive(message)
 
-    def _greet_recalled(self, now: float) -> None:
-        recalled = self.replication.memory.pop_recalled()
-        if recalled is None:
+    def _notify_recorded_processes(self, now: float) -> None:
+        recorded = self.replication.fleet_records.pop_loaded()
+        if recorded is None:
             return
-        self._controls.name(map(Address, recalled.controls), now)
-        greeting = self._registry.greeting(now)
-        for address in map(Address, recalled.processes):
-            self._send(greeting, pair_of(address))
+        self._controls.record_named(map(Address, recorded.controls), now)
+        startup_report = self._inquiry_handler.startup_report(now)
+        for address in map(Address, recorded.processes):
+            self._send(startup_report, pair_of(address))
 
-    def _say_hello(self, now: float) -> None:
+    def _send_hellos(self, now: float) -> None:
         hello = ControlHello(
-            self._own,
+            self._own_address,
             self.process.codec.boot,
             self.process.deployment.zone,
-            self.replication.name,
+            self.replication.replica_name,
             self.replication.is_fresh,
-            controls=self._controls.to_name(now),
+            controls=self._controls.addresses_to_announce(now),
         )
         if self.process.deployment.is_first_start:
             size = self.process.deployment.group_size
-            founding = self._controls.choose_founders(hello, size, now)
-            hello = attrs.evolve(hello, founding=founding)
-            self.replication.found(founding)
-        for target in self._controls.targets(now):
+            founders = self._controls.choose_founders(hello, size, now)
+            hello = attrs.evolve(hello, founding=founders)
+            self.replication.join_first_group(founders)
+        for target in self._controls.hello_targets(now):
             self._send(hello, pair_of(target))
 
     def _send(self, message: object, target: tuple[str, int]) -> None:
--- a/redwingstream/fleet/deployment.py
+++ b/redwingstream/fleet/deployment.py
@@ -1,4 +1,4 @@
-"""What a process of the packet roles is told at its start."""
+"""Settings that a process of the packet roles gets at its start."""
 
 from pathlib import Path
 
@@ -11,16 +11,17 @@
 CONTROL_OFFSET = 0
 BALANCER_OFFSET = 1
 AGENT_OFFSET = 2
-"""Which of the internal ports a role takes; two roles share an instance."""
+"""Offsets of the roles' ports in the range of internal ports; two roles may
+share an instance."""
 
 DEFAULT_IDLE_TIMEOUT = 15.0
-"""Seconds after which a flow without packets is forgotten, until operators
-have stated it."""
+"""Seconds after which a flow without packets is dropped, until operators have
+set a timeout."""
 
 
 @attrs.frozen
 class ListenEndpoints:
-    """Where a process listens; None for what its role does not need.
+    """Endpoints that a process listens on; None for unused ones.
 
     Parameters
     ----------
@@ -29,9 +30,9 @@
     outbound : Endpoint or None
         Packets of the server beside an agent.
     readiness : Endpoint or None
-        Whether the process is ready.
+        Readiness checks of the process.
     control : Endpoint or None
-        Operators (control instance) or the server's reports (agent).
+        Operators' calls (control instance) or the server's reports (agent).
     metrics : Endpoint or None
         Counters and histograms.
     """
@@ -45,12 +46,12 @@
 
 @attrs.frozen
 class LocalServer:
-    """The backend server beside an agent.
+    """The backend server on the same instance as an agent.
 
     Parameters
     ----------
     server : Endpoint
-        Where it takes packets.
+        Endpoint at which it receives packets.
     pool : str
         Pool that it belongs to.
     """
@@ -61,14 +62,14 @@
 
 @attrs.frozen
 class Deployment:
-    """What a process is told at its start.
+    """Settings of a process.
 
     Parameters
     ----------
     node, zone, host : str
         Name, availability zone and IP address of the instance.
-    listening : Listening
-        Where it listens.
+    listening : ListenEndpoints
+        Endpoints that the process listens on.
     first_port, last_port : int
         Ports for traffic between processes of the system, the same on every
         instance.
@@ -78,17 +79,17 @@
         Folder on a disk; None without one.
     is_first_start : bool
         True when the whole system starts for the first time.
-    tolerated : int
-        Instances with a disk that may be lost at once.
-    beside : Beside or None
-        The server beside an agent.
+    tolerated_losses : int
+        Number of instances with a disk that may be lost at once.
+    local_server : LocalServer or None
+        The server beside an agent; None for other roles.
     cold_limit : ColdLimit
-        What a cold server may get.
+        Limit on the new flows of a cold server.
     report_interval : float
         Seconds between two reports of a server.
-    grace : float
+    grace_seconds : float
         Seconds from the request to stop until the process is killed.
-    flow_life : float
+    max_flow_age : float
         Seconds after which any flow may be given up.
     """
 
@@ -110,22 +111,28 @@
 
     @property
     def group_size(self) -> int:
-        """Replicas that count: a majority survives what may be lost."""
+        """Voting replicas: a majority remains after the tolerated losses."""
         return 2 * self.tolerated_losses + 1
 
     @property
     def seed_addresses(self) -> tuple[Address, ...]:
-        """Where the control instances of the settings talk to others."""
+        """Internal addresses of the control instances named by the settings."""
         return tuple(
             address_of(host, self.first_port + CONTROL_OFFSET)
             for host in self.seeds
         )
 
-    def internal(self, offset: int) -> Endpoint:
-        """Return where this process talks to others."""
+    def internal_endpoint(self, offset: int) -> Endpoint:
+        """Return the endpoint of this process for traffic between processes.
+
+        Parameters
+        ----------
+        offset : int
+            Offset of the role in the range of internal ports.
+        """
         return Endpoint(self.host, self.first_port + offset)
 
     def control_endpoint(self, host: str) -> Endpoint:
-        """Return where a control instance serves operators."""
+        """Return the endpoint at which a control instance serves operators."""
         own = self.listening.control
         return Endpoint(host, 0 if own is None else own.port)
--- a/redwingstream/fleet/events.py
+++ b/redwingstream/fleet/events.py
@@ -1,11 +1,11 @@
-"""What changes what a packet process believes, for the event log."""
+"""Log events of changes in what a process of the packet roles knows."""
 
 from redwingstream.eventlog.lines import event
 
 
 @event
 class ServerReported:
-    """The server beside this agent has changed what it says of itself."""
+    """The server beside this agent has reported a change, or was refused."""
 
     server: str
     born: int
@@ -17,7 +17,7 @@
 
 @event
 class AgentsChanged:
-    """What is known of an agent has changed."""
+    """The known state of an agent has changed."""
 
     agent: str
     pool: str
@@ -29,7 +29,7 @@
 
 @event
 class AgentSilent:
-    """A control instance has not heard an agent for a while."""
+    """A control instance has not heard an agent within the silence timeout."""
 
     agent: str
     pool: str
--- a/redwingstream/fleet/observed/__init__.py
+++ b/redwingstream/fleet/observed/__init__.py
@@ -1,4 +1,4 @@
-"""What the roles show on their metrics address, a module for each role.
+"""Metrics that the roles export, in one module for each role.
 
-A process loads the module of its own role only.
+A process imports only the module of its own role.
 """
--- a/redwingstream/fleet/observed/agent.py
+++ b/redwingstream/fleet/observed/agent.py
@@ -1,4 +1,4 @@
-"""What an agent shows."""
+"""Metrics of an agent."""
 
 from collections.abc import Iterator
 
@@ -16,14 +16,14 @@
 
 
 def agent_samples(agent: Agent) -> Iterator[Sample]:
-    """Return what an agent shows."""
-    site = agent.context
-    inquirer = agent.following.inquirer
+    """Yield the metrics of an agent."""
+    context = agent.context
+    inquirer = agent.control_client.inquirer
     now = agent.process.clock()
-    load = site.load()
+    load = context.load()
     state = agent.gate.state
-    yield counted(PACKETS, site.counters)
-    yield counted(REFUSALS, site.refusals.counters)
+    yield counted(PACKETS, context.counters)
+    yield counted(REFUSALS, context.refusals.counters)
     yield Sample(
         FLOWS,
         {
@@ -42,4 +42,4 @@
         },
     )
     yield from inquirer_samples(inquirer, now)
-    yield Sample(OPENING_SECONDS, histogram=site.opening_seconds)
+    yield Sample(OPENING_SECONDS, histogram=context.opening_seconds)
--- a/redwingstream/fleet/observed/balancer.py
+++ b/redwingstream/fleet/observed/balancer.py
@@ -1,4 +1,4 @@
-"""What a balancer shows."""
+"""Metrics of a balancer."""
 
 from collections.abc import Iterator
 
@@ -14,13 +14,13 @@
 
 
 def balancer_samples(balancer: Balancer) -> Iterator[Sample]:
-    """Return what a balancer shows."""
-    steering = balancer.forwarder
-    inquirer = balancer.following.inquirer
+    """Yield the metrics of a balancer."""
+    forwarder = balancer.forwarder
+    inquirer = balancer.control_client.inquirer
     now = balancer.process.clock()
-    yield counted(PACKETS, steering.counters)
-    yield counted(REFUSALS, steering.refusals.counters)
+    yield counted(PACKETS, forwarder.counters)
+    yield counted(REFUSALS, forwarder.refusals.counters)
     yield Sample(
-        FLOWS, {'hints': len(steering.hints), 'early': len(steering.early)}
+        FLOWS, {'hints': len(forwarder.hints), 'early': len(forwarder.early)}
     )
     yield from inquirer_samples(inquirer, now)
--- a/redwingstream/fleet/observed/common.py
+++ b/redwingstream/fleet/observed/common.py
@@ -1,4 +1,4 @@
-"""What several roles show."""
+"""Metrics that several roles export."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
@@ -21,9 +21,9 @@
 def process_samples(
     process: Process, servers: Iterable[HttpServer]
 ) -> Iterator[Sample]:
-    """Return what every process shows."""
+    """Yield the metrics of every process."""
     yield counted(LOG_LINES, process.log.counters)
-    yield Sample(DELAYS, {'process': process.delay_watch.delays})
+    yield Sample(DELAYS, {'process': process.delay_monitor.delays})
     calls: Counter[str] = Counter()
     for server in servers:
         calls.update(counted(CALLS, server.counters).level_by_label)
@@ -31,7 +31,7 @@
 
 
 def inquirer_samples(inquirer: Inquirer, now: float) -> Iterator[Sample]:
-    """Return what is known from the control instances."""
+    """Yield the metrics of the tables and agents that are known here."""
     yield _tables(inquirer, now)
     yield _agents(inquirer)
     yield Sample(IN_FORCE_SECONDS, histogram=inquirer.in_force_seconds)
--- a/redwingstream/fleet/observed/control.py
+++ b/redwingstream/fleet/observed/control.py
@@ -1,4 +1,4 @@
-"""What a control instance shows."""
+"""Metrics of a control instance."""
 
 from collections.abc import Iterator
 
@@ -14,7 +14,7 @@
 
 
 def control_samples(control: Control) -> Iterator[Sample]:
-    """Return what a control instance shows."""
+    """Yield the metrics of a control instance."""
     replication = control.replication
     now = control.process.clock()
     source = control.table_source(now)
@@ -22,7 +22,7 @@
         TABLES,
         {'revision': source.revision, 'confirmed_age': source.confirmed_age},
     )
-    yield Sample(AGENTS, {'heard': len(control.book)})
+    yield Sample(AGENTS, {'heard': len(control.agents)})
     if replication.replica is not None:
         consensus = replication.replica.consensus
         yield Sample(
--- a/redwingstream/fleet/outcomes.py
+++ b/redwingstream/fleet/outcomes.py
@@ -1,4 +1,4 @@
-"""Waits for what becomes of a change or a read."""
+"""Waits for the outcome of a change or read of the replicated tables."""
 
 import asyncio
 
@@ -11,18 +11,18 @@
 
 CHANGE_TIMEOUT = 3.0
 """Seconds that a change may wait for a majority until its sender is told that
-the outcome is not known; operators give a call up after a second or two."""
+the outcome is unknown; operators abandon a call after 1 s to 2 s."""
 
 
-class Waiter:
+class OutcomeWaiter:
     """Waits for the outcome of one change or read."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
         self._future: asyncio.Future[None] = loop.create_future()
 
-    def take(self, outcome: Outcome | RedwingstreamError) -> None:
-        """Take the outcome."""
+    def set_outcome(self, outcome: Outcome | RedwingstreamError) -> None:
+        """Set the outcome; later ones are ignored."""
         if self._future.done():
             return
         if isinstance(outcome, RedwingstreamError):
@@ -31,12 +31,14 @@
             self._future.set_result(None)
 
     async def wait(self) -> None:
-        """Wait for the outcome, for a while.
+        """Wait for the outcome for up to ``CHANGE_TIMEOUT``.
 
         Raises
         ------
         CallFailedError
-            When it is not known in time.
+            When the outcome is not known in time.
+        RedwingstreamError
+            When the change or read has failed.
         """
         try:
             await asyncio.wait_for(self._future, CHANGE_TIMEOUT)
--- a/redwingstream/fleet/packet_sender.py
+++ b/redwingstream/fleet/packet_sender.py
@@ -1,4 +1,4 @@
-"""Carries out what the packet path wants sent."""
+"""Sends the packets that the packet path has produced."""
 
 import functools
 from collections.abc import Iterable
@@ -14,14 +14,14 @@
 
 
 class PacketSender:
-    """The sockets that packets leave by.
+    """Sends packets through the sockets of a balancer or agent.
 
     Parameters
     ----------
     caller_port : int
-        Port at which callers take packets.
+        Port at which callers receive packets.
     server : Endpoint or None
-        The server beside an agent.
+        The server beside an agent; None for a balancer.
     """
 
     def __init__(
@@ -34,17 +34,17 @@
         self._host_of = functools.lru_cache(maxsize=_CACHED_ADDRESSES)(host_of)
 
     def attach(self, callers: DatagramSocket, peers: DatagramSocket) -> None:
-        """Send through these sockets from now on."""
+        """Set the sockets to callers and to other processes."""
         self._callers = callers
         self._peers = peers
 
-    def send_all(self, sending: Iterable[Outgoing]) -> None:
-        """Send everything, in order."""
+    def send_all(self, outgoing: Iterable[Outgoing]) -> None:
+        """Send packets in order; drop them before sockets are attached."""
         callers, peers = self._callers, self._peers
         if callers is None or peers is None:
             return
-        for one in sending:
-            match one:
+        for item in outgoing:
+            match item:
                 case ToPeer(payload=payload, target=target):
                     peers.send(payload, _pair_of(target))
                 case ToCaller(payload=payload, caller=caller):
--- a/redwingstream/fleet/process.py
+++ b/redwingstream/fleet/process.py
@@ -1,4 +1,4 @@
-"""What every role of a process has: its log, its clock, its stop."""
+"""Parts that every role has: log, clock, signals, periodic tasks."""
 
 import asyncio
 import contextlib
@@ -12,12 +12,12 @@
 
 from redwingstream.eventlog.lines import EventLog, event
 from redwingstream.eventlog.outputs import standard_output
-from redwingstream.fleet.delays import DelayWatch
+from redwingstream.fleet.delays import DelayMonitor
 from redwingstream.fleet.deployment import Deployment
 from redwingstream.wire.frames import FrameCodec
 
-RELOAD_EVERY = 1.0
-"""Seconds between two looks at the settings file, which may change without a
+RELOAD_INTERVAL = 1.0
+"""Seconds between two reads of the settings file, which may change without a
 signal."""
 
 
@@ -33,7 +33,7 @@
 
 @event
 class ProcessReady:
-    """The process can do its work."""
+    """The process is ready to serve."""
 
     after: float
 
@@ -47,7 +47,7 @@
 
 @event
 class ProcessStopped:
-    """The process ends."""
+    """The process exits."""
 
     ran_for: float
 
@@ -61,27 +61,28 @@
 
 @event
 class UnexpectedError:
-    """Something raised an error that nobody handled."""
+    """An error was raised that no code handled."""
 
     where: str
     error: str
 
 
 KEY_SIZE = 32
-"""Bytes of the key of frames; BLAKE2b takes 16 to 64."""
+"""Size in bytes of the key that authenticates frames; BLAKE2b takes 16
+to 64."""
 
 
 @event
 class LibraryLogged:
-    """A line of a library or of a module that several products share."""
+    """A line from the standard library's loggers, which libraries use."""
 
     logger: str
     level: str
     text: str
 
 
-class _ToEventLog(logging.Handler):
-    """Hands lines of the standard library's loggers to the event log."""
+class _EventLogHandler(logging.Handler):
+    """Forwards lines of the standard loggers to the event log."""
 
     def __init__(self, log: EventLog) -> None:
         super().__init__(logging.INFO)
@@ -93,71 +94,86 @@
         self._log.write(LibraryLogged(record.name, record.levelname, text))
 
 
-Reader = Callable[[], Deployment]
+ReadDeployment = Callable[[], Deployment]
 
 
 @attrs.frozen
-class Duty:
-    """Something that a process does again and again.
+class PeriodicTask:
+    """A function that a process calls periodically.
 
     Parameters
     ----------
     name : str
-        For the log, when it raises an error.
-    act : callable
-        Takes the time, returns in how many seconds it wants to be called
-        again.
+        Name in the log when it raises an error.
+    run : callable
+        Called with the current time in seconds, by the event loop's clock;
+        returns the seconds until the next call.
     """
 
     name: str
-    act: Callable[[float], float]
+    run: Callable[[float], float]
 
 
-FAILED_PAUSE = 0.1
-"""Seconds after which a duty that has raised an error is carried out again."""
+RETRY_PAUSE = 0.1
+"""Seconds after which a task that has raised an error is run again."""
 
 
-class Timer:
-    """Carries out one duty when it is due.
+class PeriodicTimer:
+    """Runs one periodic task when it is due.
 
-    A timer of the loop calls the duty itself: a task that sleeps in between
-    takes two turns of the loop for each call.
+    A timer of the event loop calls the task directly: an asyncio task that
+    sleeps between calls takes two iterations of the loop for each call.
     """
 
-    def __init__(self, process: 'Process', duty: Duty) -> None:
+    def __init__(self, process: 'Process', task: PeriodicTask) -> None:
         self._process = process
-        self._duty = duty
+        self._task = task
         self._loop = asyncio.get_running_loop()
         self._handle = self._loop.call_soon(self._run)
 
     def cancel(self) -> None:
-        """Carry it out no more."""
+        """Stop running the task."""
         self._handle.cancel()
 
     def _run(self) -> None:
-        pause = FAILED_PAUSE
+        pause = RETRY_PAUSE
         try:
-            pause = self._duty.act(self._loop.time())
-        except Exception as error:  # an error of one duty stops no other one
-            self._process.log_error(self._duty.name, error)
+            pause = self._task.run(self._loop.time())
+        except Exception as error:  # an error of one task does not stop others
+            self._process.log_error(self._task.name, error)
         self._handle = self._loop.call_later(pause, self._run)
 
 
 class Process:
-    """What every role of a process has.
+    """Parts that every role of a process has.
 
     Parameters
     ----------
     deployment : Deployment
-        What it was told at its start.
+        Settings at the start.
     role : str
-        What it does.
-    reread : callable
-        Returns the settings as they are now.
+        Role of the process, for the log.
+    read_deployment : callable
+        Reads the current settings.
+
+    Attributes
+    ----------
+    clock : callable
+        Returns the time in seconds, by the event loop's clock.
+    started_at : float
+        Time of the start by this clock.
+    log : EventLog
+        Log of the process.
+    delay_monitor : DelayMonitor
+        Detects times in which the process did not run.
+    codec : FrameCodec
+        Seals and opens frames between processes.
+    stopping : asyncio.Event
+        Set when the process was asked to stop.
     """
 
     def __init__(
-        self, deployment: Deployment, role: str, reread: Reader
+        self, deployment: Deployment, role: str, read_deployment: ReadDeployment
     ) -> None:
         loop = asyncio.get_running_loop()
         self.deployment = deployment
@@ -165,17 +181,19 @@
         self.started_at = loop.time()
         self.log = EventLog(deployment.node, role, loop.time, standard_output())
         logging.basicConfig(
-            level=logging.INFO, handlers=(_ToEventLog(self.log),)
+            level=logging.INFO, handlers=(_EventLogHandler(self.log),)
         )
-        self.delay_watch = DelayWatch(self.log.write)
-        self.codec = FrameCodec(_key(deployment))
+        self.delay_monitor = DelayMonitor(self.log.write)
+        self.codec = FrameCodec(_frame_key(deployment))
         self.stopping = asyncio.Event()
-        self._reread = reread
-        self._watched: list[Callable[[Deployment], None]] = []
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._stop, number)
+        self._read_deployment = read_deployment
+        self._reload_callbacks: list[Callable[[Deployment], None]] = []
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(
+                signal_number, self._handle_stop_signal, signal_number
+            )
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        loop.set_exception_handler(self._report)
+        loop.set_exception_handler(self._handle_loop_error)
         self.log.write(
             ProcessStarted(
                 deployment.host,
@@ -185,57 +203,57 @@
             ),
         )
 
-    def when_reloaded(self, act: Callable[[Deployment], None]) -> None:
-        """Have something called when the settings have changed."""
-        self._watched.append(act)
+    def on_reload(self, callback: Callable[[Deployment], None]) -> None:
+        """Register a callback for changes of the settings."""
+        self._reload_callbacks.append(callback)
 
     def reload(self) -> None:
-        """Read the settings again; go by them when they differ."""
+        """Read the settings again; notify the callbacks when they differ."""
         try:
-            fresh = self._reread()
+            newest = self._read_deployment()
         except (OSError, ValueError) as error:
             self.log_error('settings', error)
             return
-        if fresh == self.deployment:
+        if newest == self.deployment:
             return
-        self.deployment = fresh
-        self.log.write(SettingsReloaded(','.join(fresh.seeds)))
-        for act in self._watched:
-            act(fresh)
+        self.deployment = newest
+        self.log.write(SettingsReloaded(','.join(newest.seeds)))
+        for callback in self._reload_callbacks:
+            callback(newest)
 
     def log_error(self, where: str, error: Exception) -> None:
-        """Write an error that nobody handled."""
+        """Log an error that no code handled."""
         text = f'{type(error).__name__}: {error}'
         self.log.write(UnexpectedError(where, text))
 
     @contextlib.contextmanager
-    def running(self, *duties: Duty) -> Iterator[None]:
-        """Carry out duties again and again until the end of the block."""
+    def running(self, *tasks: PeriodicTask) -> Iterator[None]:
+        """Run periodic tasks until the end of the block."""
         own = (
-            Duty('reload', self._reload_later),
-            Duty('delay', self.delay_watch.look),
+            PeriodicTask('reload', self._reload_periodically),
+            PeriodicTask('delay', self.delay_monitor.check),
         )
-        timers = [Timer(self, duty) for duty in (*duties, *own)]
+        timers = [PeriodicTimer(self, task) for task in (*tasks, *own)]
         try:
             yield
         finally:
-            self._end(timers)
+            self._stop_timers(timers)
 
-    def _reload_later(self, now: float) -> float:
+    def _reload_periodically(self, now: float) -> float:
         self.reload()
-        return RELOAD_EVERY
+        return RELOAD_INTERVAL
 
-    def _end(self, timers: list[Timer]) -> None:
+    def _stop_timers(self, timers: list[PeriodicTimer]) -> None:
         for timer in timers:
             timer.cancel()
         ran_for = round(self.clock() - self.started_at, 3)
         self.log.write(ProcessStopped(ran_for))
 
-    def _stop(self, number: int) -> None:
-        self.log.write(ProcessStopping(signal.Signals(number).name))
+    def _handle_stop_signal(self, signal_number: int) -> None:
+        self.log.write(ProcessStopping(signal.Signals(signal_number).name))
         self.stopping.set()
 
-    def _report(
+    def _handle_loop_error(
         self, loop: asyncio.AbstractEventLoop, context: dict[str, object]
     ) -> None:
         error = context.get('exception')
@@ -250,10 +268,9 @@
     return path.read_text()
 
 
-def _key(deployment: Deployment) -> bytes:
-    # Nothing secret is shared between the processes: the instances' network is
-    # their own.  The key keeps apart what another deployment might send, and
-    # finds damaged frames.
+def _frame_key(deployment: Deployment) -> bytes:
+    # The key is not secret: the network of the instances is private.  It
+    # rejects frames of another deployment and detects damaged ones.
     ports = f'{deployment.first_port}-{deployment.last_port}'
     digest = hashlib.blake2b(ports.encode(), digest_size=KEY_SIZE)
     return digest.digest()
--- a/redwingstream/fleet/replication.py
+++ b/redwingstream/fleet/replication.py
@@ -19,9 +19,9 @@
 )
 from redwingstream.eventlog.lines import event
 from redwingstream.fleet.deployment import CONTROL_OFFSET
-from redwingstream.fleet.outcomes import Waiter
+from redwingstream.fleet.outcomes import OutcomeWaiter
 from redwingstream.fleet.process import Process, ProcessReady
-from redwingstream.fleet.recalling import FleetMemory, Served
+from redwingstream.fleet.fleet_record_store import FleetRecordStore, ServedState
 from redwingstream.packets.flow import Address
 from redwingstream.storage.disk import DiskFolder, open_folder
 from redwingstream.tables.machine.machine import Outcome
@@ -31,10 +31,10 @@
 """Seconds after which a replica whose disk has failed is opened again."""
 
 HAND_OVER_TIMEOUT = 1.0
-"""Seconds that a leader that stops waits for another one to take over."""
+"""Seconds that a stopping leader waits for another replica to take over."""
 
-HAND_OVER_POLL = 0.05
-"""Seconds between two looks whether it has."""
+HAND_OVER_POLL_INTERVAL = 0.05
+"""Seconds between two checks whether another replica has taken over."""
 
 
 @event
@@ -49,7 +49,7 @@
 
 @event
 class ChangeProposed:
-    """A change was taken by the leader."""
+    """The leader proposes a change to the group."""
 
     what: str
     term: int
@@ -58,7 +58,7 @@
 
 @event
 class ChangeEnded:
-    """What became of a change."""
+    """A change was accepted, was rejected, or has an unknown outcome."""
 
     what: str
     outcome: str
@@ -67,14 +67,14 @@
 
 @event
 class DiskLost:
-    """The replica's disk has failed; the replica stops until it is back."""
+    """The disk has failed; the replica stops until it can be opened."""
 
     reason: str
 
 
 @event
 class GroupChosen:
-    """The first group was chosen, and this replica is in it."""
+    """The first replica group was chosen, and this replica joins it."""
 
     group: str
 
@@ -85,7 +85,7 @@
     Parameters
     ----------
     leader : str
-        Host of the one that leads; empty when unknown.
+        Host of the leader; empty when unknown.
     """
 
     default_code = ResultCode.NOT_LEADER
@@ -101,9 +101,20 @@
     Parameters
     ----------
     process : Process
-        Log, clock and stop.
+        Settings, log and clock.
     send : callable
-        Sends a message to a process.
+        Sends a message to an address.
+
+    Attributes
+    ----------
+    replica : Replica or None
+        The replica; None without a disk, or while the disk cannot be used.
+    fleet_records : FleetRecordStore
+        The fleet record on the disk.
+    sync_seconds : Histogram
+        Seconds that writes take to reach the disk.
+    change_seconds : Histogram
+        Seconds from a change's proposal until it is accepted.
     """
 
     def __init__(
@@ -112,21 +123,21 @@
         send: Callable[[object, tuple[str, int]], None],
     ) -> None:
         self.replica: Replica | None = None
-        self.memory = FleetMemory(process.log.write)
+        self.fleet_records = FleetRecordStore(process.log.write)
         self.sync_seconds = Histogram()
         self.change_seconds = Histogram()
         self._process = process
         self._send = send
-        self._endpoint = process.deployment.internal(CONTROL_OFFSET)
+        self._endpoint = process.deployment.internal_endpoint(CONTROL_OFFSET)
         self._identity = 0
         self._reopen_at = process.started_at
-        self._folders = contextlib.ExitStack()
-        self._role = ''
+        self._folder_stack = contextlib.ExitStack()
+        self._logged_role = ''
         self._folder: DiskFolder | None = None
         self._peers: tuple[events.Peer, ...] = ()
 
     @property
-    def name(self) -> ReplicaName | None:
+    def replica_name(self) -> ReplicaName | None:
         """Name and identity of the replica; None while there is none."""
         if self.replica is None:
             return None
@@ -140,7 +151,15 @@
         return not self.replica.consensus.log.group
 
     def tick(self, peers: tuple[events.Peer, ...], now: float) -> None:
-        """Open the replica when it is time; let it look at its timers."""
+        """Open the replica when it is time; advance its timers.
+
+        Parameters
+        ----------
+        peers : tuple of Peer
+            Replicas that run on other instances.
+        now : float
+            Current time in seconds, by the event loop's clock.
+        """
         if self.replica is None:
             self._open(now)
         if self.replica is not None and peers != self._peers:
@@ -148,42 +167,46 @@
             self.replica.step(events.PeersHeard(peers))
         if self.replica is not None:
             self.replica.step(events.Ticked())
-            self._note_role(self.replica)
+            self._log_role(self.replica)
 
-    def remember(self, controls: tuple[Address, ...], now: float) -> None:
-        """Keep on the disk who is served, and by which tables."""
+    def write_fleet_record(
+        self, controls: tuple[Address, ...], now: float
+    ) -> None:
+        """Write the fleet record to the disk when it is due."""
         if self.replica is None or self._folder is None:
             return
         machine = self.replica.machine
-        served = Served(controls, machine.state.revision, machine.update_since)
-        self.memory.keep(self._folder, served, now)
+        served = ServedState(
+            controls, machine.state.revision, machine.update_since
+        )
+        self.fleet_records.write_if_due(self._folder, served, now)
 
     def receive(self, message: ReplicaMessage) -> None:
-        """Take a message of another replica."""
+        """Handle a message of another replica."""
         if self.replica is not None:
             self.replica.step(events.Received(message))
 
-    def found(self, founding: tuple[ReplicaName, ...]) -> None:
-        """Join the first group, if it is chosen and this replica is in it."""
-        if not founding or self.replica is None or not self.is_fresh:
+    def join_first_group(self, founders: tuple[ReplicaName, ...]) -> None:
+        """Join the first group if one is chosen and this replica is fresh."""
+        if not founders or self.replica is None or not self.is_fresh:
             return
         self._process.log.write(
-            GroupChosen(','.join(chosen.name for chosen in founding))
+            GroupChosen(','.join(chosen.name for chosen in founders))
         )
         group = tuple(
-            Voter(chosen.name, chosen.identity) for chosen in founding
+            Voter(chosen.name, chosen.identity) for chosen in founders
         )
         self.replica.step(events.GroupFounded(group))
 
-    def leading(self) -> Replica:
-        """Return the replica when it leads and knows all that was accepted.
+    def leading_replica(self) -> Replica:
+        """Return the replica if it leads and knows all accepted changes.
 
         Raises
         ------
         NotLeaderError
-            When another one leads, or nobody as far as this one knows.
+            When another replica leads, or none is known to.
         CallFailedError
-            When it was elected just now.
+            When it was elected only just now.
         """
         replica = self.replica
         if replica is None:
@@ -200,45 +223,54 @@
             )
         return replica
 
-    async def accept(self, what: str, commands: tuple[object, ...]) -> None:
-        """Have commands accepted, in order, and wait for the last one.
+    async def propose_and_wait(
+        self, what: str, commands: tuple[object, ...]
+    ) -> None:
+        """Propose commands in order and wait until the last one is accepted.
+
+        Parameters
+        ----------
+        what : str
+            Description of the change, for the log.
+        commands : tuple
+            Commands of the replicated state machine.
 
         Raises
         ------
         NotLeaderError, CallFailedError
-            See :meth:`leading`; also when it is not known whether the commands
-            will be accepted.
+            See :meth:`leading_replica`; also when it is not known whether the
+            commands will be accepted.
         """
-        replica = self.leading()
-        begun = self._process.clock()
+        replica = self.leading_replica()
+        started_at = self._process.clock()
         term = replica.consensus.term
         self._process.log.write(ChangeProposed(what, term, len(commands)))
-        waiter = Waiter()
+        waiter = OutcomeWaiter()
         outcome = 'unknown'
         try:
             await _propose_all(replica, commands, waiter)
             outcome = 'accepted'
-            self.change_seconds.note(self._process.clock() - begun)
+            self.change_seconds.note(self._process.clock() - started_at)
         except RedwingstreamError as error:
             outcome = error.code.name.lower()
             raise
         finally:
-            took = round(self._process.clock() - begun, 4)
+            took = round(self._process.clock() - started_at, 4)
             self._process.log.write(ChangeEnded(what, outcome, took))
 
     async def hand_over(self) -> None:
-        """Hand leadership over before the process ends."""
+        """Hand leadership over to another replica before the process ends."""
         replica = self.replica
         if replica is None or not replica.consensus.is_leader:
             return
         deadline = self._process.clock() + HAND_OVER_TIMEOUT
         replica.step(events.HandOverAsked())
         while replica.consensus.is_leader and self._process.clock() < deadline:
-            await asyncio.sleep(HAND_OVER_POLL)
+            await asyncio.sleep(HAND_OVER_POLL_INTERVAL)
 
     def close(self) -> None:
         """Close the data folder."""
-        self._folders.close()
+        self._folder_stack.close()
 
     def _open(self, now: float) -> None:
         folder = self._process.deployment.data_folder
@@ -247,25 +279,28 @@
         self._reopen_at = now + REOPEN_AFTER
         try:
             self._start(
-                self._folders.enter_context(
+                self._folder_stack.enter_context(
                     open_folder(folder, self.sync_seconds.note)
                 )
             )
         except StorageError as error:
-            self._fail(error)
+            self._handle_disk_error(error)
 
     def _start(self, folder: DiskFolder) -> None:
         deployment = self._process.deployment
         loop = asyncio.get_running_loop()
-        around = Surroundings(
-            self._send_outgoing, loop.time, loop.call_soon, self._fail
+        surroundings = Surroundings(
+            self._send_outgoing,
+            loop.time,
+            loop.call_soon,
+            self._handle_disk_error,
         )
         sizing = Sizing(deployment.group_size, deployment.zone)
-        made = make_replica(folder, str(self._endpoint), sizing, around)
+        made = make_replica(folder, str(self._endpoint), sizing, surroundings)
         self._identity = made.identity
         self.replica = made.replica
         self._folder = folder
-        self.memory.recall(folder, self._process.clock())
+        self.fleet_records.load(folder, self._process.clock())
         self._peers = ()
         after = round(self._process.clock() - self._process.started_at, 3)
         self._process.log.write(ProcessReady(after))
@@ -274,22 +309,22 @@
         target = parse_endpoint(outgoing.target).as_pair()
         self._send(outgoing.message, target)
 
-    def _fail(self, error: StorageError) -> None:
-        # What a file holds after an error is known only after it has been read
-        # afresh, so the replica begins again from its disk, as after a crash.
+    def _handle_disk_error(self, error: StorageError) -> None:
+        # The contents of a file are unknown after an error until it is read
+        # again, so the replica restarts from its disk, as after a crash.
         self._process.log.write(DiskLost(str(error)))
         self.replica = None
         self._folder = None
-        self._folders.close()
+        self._folder_stack.close()
         self._reopen_at = self._process.clock() + REOPEN_AFTER
 
-    def _note_role(self, replica: Replica) -> None:
+    def _log_role(self, replica: Replica) -> None:
         consensus = replica.consensus
         group = ','.join(voter.name for voter in consensus.log.group)
         role = f'{consensus.role_name} {consensus.leader} {group}'
-        if role == self._role:
+        if role == self._logged_role:
             return
-        self._role = role
+        self._logged_role = role
         self._process.log.write(
             RoleChanged(
                 consensus.role_name, consensus.term, consensus.leader, group
@@ -298,13 +333,13 @@
 
 
 async def _propose_all(
-    replica: Replica, commands: tuple[object, ...], waiter: Waiter
+    replica: Replica, commands: tuple[object, ...], waiter: OutcomeWaiter
 ) -> None:
     for command in commands[:-1]:
-        replica.propose(command, _leave_to_last)
-    replica.propose(commands[-1], waiter.take)
+        replica.propose(command, _ignore_outcome)
+    replica.propose(commands[-1], waiter.set_outcome)
     await waiter.wait()
 
 
-def _leave_to_last(outcome: Outcome | RedwingstreamError) -> None:
-    """Take no notice: the outcome of the last command tells of all."""
+def _ignore_outcome(outcome: Outcome | RedwingstreamError) -> None:
+    """Ignore an outcome: that of the last command stands for all."""
--- a/redwingstream/fleet/routes.py
+++ b/redwingstream/fleet/routes.py
@@ -1,4 +1,4 @@
-"""What balancers and agents make of newer tables and agents."""
+"""Use of newer tables and agents by balancers and agents."""
 
 from collections.abc import Iterable
 
@@ -13,7 +13,7 @@
 
 
 def routes_by_service(tables: Tables) -> dict[Address, Route]:
-    """Return the routes by the address that callers send to."""
+    """Return the routes by the service address that callers send to."""
     route_by_service = {}
     for route in tables.route_by_key.values():
         endpoint = parse_endpoint(route.service)
@@ -22,8 +22,8 @@
     return route_by_service
 
 
-def note_agents(process: Process, agents: Iterable[Agent]) -> None:
-    """Write which agents have changed."""
+def log_agents(process: Process, agents: Iterable[Agent]) -> None:
+    """Log the agents that have changed."""
     for agent in agents:
         process.log.write(
             events.AgentsChanged(
@@ -37,8 +37,8 @@
         )
 
 
-def note_tables(process: Process, inquirer: Inquirer) -> None:
-    """Write that newer tables are in force."""
+def log_tables(process: Process, inquirer: Inquirer) -> None:
+    """Log that newer tables are in force."""
     tables = inquirer.history.tables
     generation = tables.generation
     zones = [mark.zone for mark in tables.zone_by_name.values() if mark.out]
--- a/redwingstream/fleet/reporting.py
+++ b/redwingstream/fleet/server_reports.py
@@ -1,18 +1,18 @@
-"""What an agent does with what its server says of itself."""
+"""Handling of the reports that the server beside an agent sends."""
 
 from collections.abc import Callable
 
 from redwingstream.endpoints import Endpoint
 from redwingstream.fleet.events import ServerEnded, ServerReported
-from redwingstream.fleet.probing import has_ended
+from redwingstream.fleet.server_probe import has_ended
 from redwingstream.fleet.process import Process, ProcessReady
 from redwingstream.openings.gate import Gate
 from redwingstream.openings.reports import ServerReport
 from redwingstream.packets.agent_flows import AgentFlows
 
 
-class Reporting:
-    """Takes the reports of the server beside an agent.
+class ServerReportHandler:
+    """Handles the reports of the server beside an agent.
 
     Parameters
     ----------
@@ -21,11 +21,11 @@
     pool : str
         Pool that the server belongs to.
     gate : Gate
-        Goes by the reports.
-    flows : FlowBook
+        Decides on new flows by the server's reports.
+    flows : AgentFlows
         Flows of the server.
-    changed : callable
-        Called when the others have to hear of it at once.
+    on_change : callable
+        Called when the control instances are to be notified at once.
     """
 
     def __init__(
@@ -34,41 +34,47 @@
         pool: str,
         gate: Gate,
         flows: AgentFlows,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         self._process = process
         self._pool = pool
         self._gate = gate
         self._flows = flows
-        self._changed = changed
+        self._on_change = on_change
 
     def handle_report(self, report: ServerReport) -> bool:
-        """Take a report; return False when it is of another pool."""
+        """Handle a report; return False when it is of another pool."""
         if report.pool != self._pool:
-            self._note(report, 'another pool')
+            self._log_report(report, 'another pool')
             return False
         before = self._gate.state.report
         now = self._process.clock()
         if not self._gate.handle_report(report, now):
-            self._note(report, 'late')
+            self._log_report(report, 'late')
             return True
         if before is None:
             after = round(now - self._process.started_at, 3)
             self._process.log.write(ProcessReady(after))
         elif before.born != report.born:
-            # Another run of the server holds nothing of before.
+            # A restarted server has lost the flows of its earlier run.
             self._flows.clear()
-        if before is None or _says_more(before, report):
-            self._note(report, 'taken')
-            self._changed()
+        if before is None or _is_change(before, report):
+            self._log_report(report, 'taken')
+            self._on_change()
         return True
 
     def handle_leave(self, server: str) -> None:
-        """Take note that the server ends."""
+        """Handle the server's announcement that it shuts down.
+
+        Parameters
+        ----------
+        server : str
+            Name under which the server reports.
+        """
         report = self._gate.state.report
         if report is not None and self._gate.state.mark_leaving(server):
-            self._note(report, 'left')
-            self._changed()
+            self._log_report(report, 'left')
+            self._on_change()
 
     async def check_server_ended(self, server: Endpoint) -> None:
         """Check whether the server's process has ended, and record it if so."""
@@ -76,7 +82,7 @@
             self._gate.state.mark_ended()
             self._process.log.write(ServerEnded(str(server)))
 
-    def _note(self, report: ServerReport, outcome: str) -> None:
+    def _log_report(self, report: ServerReport, outcome: str) -> None:
         self._process.log.write(
             ServerReported(
                 report.server,
@@ -89,7 +95,7 @@
         )
 
 
-def _says_more(before: ServerReport, report: ServerReport) -> bool:
+def _is_change(before: ServerReport, report: ServerReport) -> bool:
     return (
         before.born != report.born
         or before.readiness is not report.readiness
--- a/redwingstream/fleet/tests/fakes.py
+++ b/redwingstream/fleet/tests/fakes.py
@@ -33,13 +33,13 @@
 
 @attrs.define
 class FakeSocket:
-    """Keeps what is sent."""
+    """Records the datagrams that are sent."""
 
     sent: list[bytes] = attrs.field(factory=list)
     targets: list[tuple[str, int]] = attrs.field(factory=list)
 
     def send(self, payload: bytes, target: tuple[str, int]) -> None:
-        """Keep a datagram."""
+        """Record a datagram."""
         self.sent.append(payload)
         self.targets.append(target)
 
@@ -58,9 +58,9 @@
             codec=FrameCodec(KEY),
         )
 
-    def when_reloaded(self, act: Callable[[Deployment], None]) -> None:
-        """Settings do not change here."""
+    def on_reload(self, callback: Callable[[Deployment], None]) -> None:
+        """Ignore the callback: the settings do not change."""
 
 
 def _ignore(event: object) -> None:
-    """Take no notice of an event."""
+    """Discard an event."""
--- a/redwingstream/fleet/tests/test_agent.py
+++ b/redwingstream/fleet/tests/test_agent.py
@@ -38,7 +38,7 @@
     )
     agent = Agent(FakeProcess(deployment, loop.time), PlainCodec())
     sent = FakeSocket()
-    agent.following.attach(sent)
+    agent.control_client.attach(sent)
     await agent.prepare_stop()
     codec = FrameCodec(KEY)
     opened = [codec.open(frame).payload for frame in sent.sent]
@@ -46,7 +46,7 @@
     return [payload.record.readiness for payload in opened]
 
 
-class TestLeaving:
+class TestStop:
     """An agent is asked to stop."""
 
     async def test_reports_that_server_has_ended(self, server) -> None:
--- a/redwingstream/fleet/tests/test_balancer.py
+++ b/redwingstream/fleet/tests/test_balancer.py
@@ -1,4 +1,4 @@
-"""What a balancer does with an answer of a control instance."""
+"""Handling of a control instance's answers by a balancer."""
 
 import asyncio
 
@@ -74,8 +74,8 @@
     )
 
 
-class TestAnswerOfControl:
-    """Tables, agents and the proof that a flow is dead come together."""
+class TestControlAnswer:
+    """One answer brings tables, agents and the proof that a flow is dead."""
 
     @pytest.fixture
     async def callers(self) -> FakeSocket:
@@ -83,12 +83,14 @@
 
     @pytest.fixture
     async def balancer(self, callers: FakeSocket) -> Balancer:
-        """A balancer that searched the only pool for a flow, in vain."""
+        """A balancer whose search for a flow in the only pool has failed."""
         loop = asyncio.get_running_loop()
         made = Balancer(FakeProcess(DEPLOYMENT, loop.time), PlainCodec())
-        made.outlet.attach(callers=callers, peers=FakeSocket())
+        made.packet_sender.attach(callers=callers, peers=FakeSocket())
         first = _tables(1, Route(SERVICE, POOL), POOL)
-        made.following.receive(_report(first, {POOL: AGENT}), ('10.9.0.1', 1))
+        made.control_client.receive(
+            _report(first, {POOL: AGENT}), ('10.9.0.1', 1)
+        )
         packet = Packet(CALLER, address_of('198.18.0.1', 443), 1, 9).pack()
         missed = Envelope(
             Kind.NOT_CARRIED, packet, pool=pool_hash(POOL), visited=(AGENT,)
@@ -97,26 +99,26 @@
         await asyncio.sleep(0.1)
         return made
 
-    async def test_ends_a_flow_that_nobody_holds(
+    async def test_ends_a_flow_that_no_agent_carries(
         self, balancer, callers
     ) -> None:
         same = _tables(1, Route(SERVICE, POOL), POOL)
         answer = _report(same, {POOL: AGENT})
-        balancer.following.receive(answer, ('10.9.0.1', 1))
+        balancer.control_client.receive(answer, ('10.9.0.1', 1))
         assert len(callers.sent) == 1
 
-    async def test_goes_by_the_tables_that_come_with_it(
+    async def test_applies_tables_before_ending_flows(
         self, balancer, callers
     ) -> None:
-        """A feed is reset right after its route was given another pool.
+        """Guards against resetting a feed whose route just got another pool.
 
         Another balancer opened it at the new pool.  The answer that brings the
-        new route here is also the one that completes a proof by the old one.
+        new route to this balancer also completes a proof by the old route.
         """
         rules = FlowRules(earlier=(POOL,))
         moved = _tables(
             2, Route(SERVICE, OTHER_POOL, flows=rules), POOL, OTHER_POOL
         )
         answer = _report(moved, {POOL: AGENT, OTHER_POOL: OTHER_AGENT})
-        balancer.following.receive(answer, ('10.9.0.1', 1))
+        balancer.control_client.receive(answer, ('10.9.0.1', 1))
         assert not callers.sent
--- a/redwingstream/fleet/tests/test_control.py
+++ b/redwingstream/fleet/tests/test_control.py
@@ -1,4 +1,4 @@
-"""What a control instance does at its start with what it recalls."""
+"""Start of a control instance that has a fleet record on its disk."""
 
 import asyncio
 from pathlib import Path
@@ -6,9 +6,9 @@
 import attrs
 import pytest
 
-from redwingstream.directory.messages import UNASKED, Inquiry, Report
+from redwingstream.directory.messages import UNSOLICITED, Inquiry, Report
 from redwingstream.fleet.control import Control
-from redwingstream.fleet.recalling import FleetMemory, Served
+from redwingstream.fleet.fleet_record_store import FleetRecordStore, ServedState
 from redwingstream.fleet.tests.fakes import (
     DEPLOYMENT,
     KEY,
@@ -27,14 +27,14 @@
 
 @pytest.fixture
 def disk(tmp_path) -> Path:
-    """A data folder on which an earlier run has left its record."""
+    """A data folder with the fleet record of an earlier run."""
     machine = Machine()
     machine.state.revision = REVISION
-    memory = FleetMemory(lambda event: None)
-    memory.followers.hear(BALANCER, 0)
-    served = Served((OTHER_CONTROL,), REVISION, machine.update_since)
+    records = FleetRecordStore(lambda event: None)
+    records.followers.record_inquiry(BALANCER, 0)
+    served = ServedState((OTHER_CONTROL,), REVISION, machine.update_since)
     with open_folder(tmp_path) as folder:
-        memory.keep(folder, served, 0)
+        records.write_if_due(folder, served, 0)
     return tmp_path
 
 
@@ -60,16 +60,16 @@
 
 
 class TestStart:
-    """Nobody leads yet, and nobody knows anybody."""
+    """No leader is elected yet, and no process knows this instance."""
 
-    async def test_speaks_first(self, control, socket) -> None:
-        """Guards against a wait until the processes ask at the seeds."""
+    async def test_contacts_recorded_processes(self, control, socket) -> None:
+        """Guards against a delay until the processes ask at the seeds."""
         assert ('10.1.0.101', 7721) in socket.targets
         assert ('10.2.0.100', 7720) in socket.targets
-        assert [report.number for report in _reports(socket)] == [UNASKED]
+        assert [report.number for report in _reports(socket)] == [UNSOLICITED]
 
-    async def test_hands_out_recalled_tables(self, control, socket) -> None:
-        """Guards against a wait for the election before flows are opened."""
+    async def test_serves_recorded_tables(self, control, socket) -> None:
+        """Guards against delaying new flows until a leader is elected."""
         socket.sent.clear()
         inquiry = FrameCodec(KEY).seal(Inquiry(1, 0, 0, 0))
         control.receive(inquiry, ('10.1.0.101', 7721))
@@ -77,8 +77,10 @@
         assert report.revision == REVISION
         assert report.update
 
-    async def test_does_not_call_them_the_newest(self, control, socket) -> None:
-        """Guards against refusals and reads by tables that may be old."""
+    async def test_does_not_confirm_recorded_tables(
+        self, control, socket
+    ) -> None:
+        """Guards against refusals and reads by tables that may be outdated."""
         socket.sent.clear()
         inquiry = FrameCodec(KEY).seal(Inquiry(1, 0, 0, 0))
         control.receive(inquiry, ('10.1.0.101', 7721))
--- a/redwingstream/fleet/tests/test_delays.py
+++ b/redwingstream/fleet/tests/test_delays.py
@@ -1,42 +1,42 @@
-"""A process that stood still says so."""
+"""Detection of times in which the process did not run."""
 
 import pytest
 
 from redwingstream.fleet.delays import (
     LATE_AFTER,
-    LOOK_EVERY,
-    DelayWatch,
+    CHECK_INTERVAL,
+    DelayMonitor,
     ProcessDelayed,
 )
 
 
-class TestDelayWatch:
-    """Looks that come in time, and late ones."""
+class TestDelayMonitor:
+    """Checks that run on time, and late ones."""
 
     @pytest.fixture
-    def lines(self) -> list[ProcessDelayed]:
+    def logged(self) -> list[ProcessDelayed]:
         return []
 
     @pytest.fixture
-    def watch(self, lines) -> DelayWatch:
-        return DelayWatch(lines.append)
+    def monitor(self, logged) -> DelayMonitor:
+        return DelayMonitor(logged.append)
 
-    def test_says_by_how_much_it_is_late(self, watch, lines) -> None:
-        """All processes of a machine seem cut off from each other.
+    def test_logs_the_delay(self, monitor, logged) -> None:
+        """Guards against logs that show a suspended machine as a partition.
 
-        The machine stood still for three seconds.  Each process calls the
-        others silent, and no line tells that it was not running itself.
+        A machine is suspended for 3 s.  Its processes call each other silent,
+        and without this event no log line tells that they were not running.
         """
-        watch.look(10)
-        watch.look(10 + LOOK_EVERY + 3)
-        assert [line.late_by for line in lines] == [3]
-        assert watch.delays == 1
-
-    def test_says_nothing_of_a_small_delay(self, watch, lines) -> None:
-        watch.look(10)
-        watch.look(10 + LOOK_EVERY + LATE_AFTER / 2)
-        assert not lines
-
-    def test_says_nothing_at_the_first_look(self, watch, lines) -> None:
-        watch.look(1000)
-        assert not lines
+        monitor.check(10)
+        monitor.check(10 + CHECK_INTERVAL + 3)
+        assert [logged_event.late_by for logged_event in logged] == [3]
+        assert monitor.delays == 1
+
+    def test_ignores_a_small_delay(self, monitor, logged) -> None:
+        monitor.check(10)
+        monitor.check(10 + CHECK_INTERVAL + LATE_AFTER / 2)
+        assert not logged
+
+    def test_ignores_the_first_check(self, monitor, logged) -> None:
+        monitor.check(1000)
+        assert not logged
--- a/redwingstream/fleet/tests/test_large_start.py
+++ b/redwingstream/fleet/tests/test_large_start.py
@@ -1,15 +1,18 @@
 """Simulated start of a large fleet over slow links.
 
 200 processes know three seeds and are served by 12 control instances.  The
-servers of all agents report and warm up, and the leader is elected late.
-Entry instances have links of 2 Mbit/s.
+servers of all agents report and warm up, and the leader is elected late. Entry
+instances have links of 2 Mbit/s.
 """
 
 import attrs
 import pytest
 
-from redwingstream.directory.book import AgentBook
-from redwingstream.directory.controls import HELLO_EVERY, Controls
+from redwingstream.directory.agent_directory import AgentDirectory
+from redwingstream.directory.control_directory import (
+    HELLO_INTERVAL,
+    ControlDirectory,
+)
 from redwingstream.directory.fleet_record import Followers
 from redwingstream.directory.inquiry import Inquirer
 from redwingstream.directory.messages import (
@@ -18,7 +21,7 @@
     Inquiry,
     Readiness,
 )
-from redwingstream.fleet.registry import Registry, TableSource
+from redwingstream.fleet.inquiry_handler import InquiryHandler, TableSource
 from redwingstream.packets.flow import Address
 from redwingstream.tables.machine.machine import Machine
 from redwingstream.wire.frames import FrameCodec
@@ -31,7 +34,7 @@
 STEP = 0.01
 ONE_WAY_DELAY = 0.001
 LINK_BYTES = 250_000
-"""Bytes a second of the link of an entry instance: 2 Mbit/s."""
+"""Rate in bytes per second of the link of an entry instance: 2 Mbit/s."""
 
 LINK_QUEUE = 0.5
 """Queueing delay in seconds beyond which a link drops answers."""
@@ -42,7 +45,7 @@
 REVISION = 40
 
 MAX_BYTES = 100_000
-"""Maximum bytes sent to one process until the fleet has started."""
+"""Maximum number of bytes sent to one process until the fleet has started."""
 
 KNOWN_WITHIN = 1.0
 """Seconds after the servers' reports within which balancers know all agents."""
@@ -88,9 +91,9 @@
         )
 
     def receive(self, now: float) -> None:
-        """Process the answers that have arrived."""
+        """Handle the answers that have arrived."""
         while self.in_flight and self.in_flight[0][0] <= now:
-            self.inquirer.take(self.in_flight.pop(0)[1], now)
+            self.inquirer.handle_answer(self.in_flight.pop(0)[1], now)
 
 
 FRAME_OVERHEAD = len(FrameCodec(bytes(32)).seal(Inquiry(1, 0, 0, 0))) - len(
@@ -99,7 +102,7 @@
 
 
 class _Fleet:
-    """Control instances and processes, in steps of virtual time."""
+    """Control instances and processes, simulated in steps of virtual time."""
 
     def __init__(self) -> None:
         self.now = float(0)
@@ -107,16 +110,17 @@
         self.controls = [Address(10_000 + number) for number in range(CONTROLS)]
         self.machine = Machine()
         self.machine.state.revision = REVISION
-        self.known_by_control = {
-            own: Controls(own, self.controls[:SEEDS]) for own in self.controls
+        self.directory_by_control = {
+            own: ControlDirectory(own, self.controls[:SEEDS])
+            for own in self.controls
         }
-        self.registry_by_control = {
-            own: Registry(
+        self.handler_by_control = {
+            own: InquiryHandler(
                 own,
                 own,
                 0,
-                AgentBook(),
-                self.known_by_control[own],
+                AgentDirectory(),
+                self.directory_by_control[own],
                 Followers(),
             )
             for own in self.controls
@@ -129,20 +133,20 @@
         """Advance the simulation."""
         for _ in range(round(seconds / STEP)):
             self.now = round(self.now + STEP, 3)
-            if round(self.now / STEP) % round(HELLO_EVERY / STEP) == 1:
-                self._say_hello()
+            if round(self.now / STEP) % round(HELLO_INTERVAL / STEP) == 1:
+                self._send_hellos()
             for node in self.nodes:
                 node.receive(self.now)
                 self._ask(node)
-            self._note_complete()
+            self._record_complete()
 
     def _ask(self, node: _Node) -> None:
-        for ask in node.inquirer.due(self.now, node.record(self.now)):
+        for ask in node.inquirer.due_inquiries(self.now, node.record(self.now)):
             self.inquiries += 1
-            registry = self.registry_by_control[ask.target]
-            registry._followers.hear(node.address, self.now)
+            handler = self.handler_by_control[ask.target]
+            handler._followers.record_inquiry(node.address, self.now)
             node.send(
-                registry.answer(ask.inquiry, self._tables, self.now), self.now
+                handler.answer(ask.inquiry, self._tables, self.now), self.now
             )
 
     @property
@@ -150,16 +154,16 @@
         age = 0.1 if self.now >= LEADER_AT else float('inf')
         return TableSource(REVISION, age, self.machine.update_since)
 
-    def _say_hello(self) -> None:
+    def _send_hellos(self) -> None:
         for sender in self.controls:
             hello = ControlHello(
                 sender, sender, 'zone', None, is_fresh=False, controls=()
             )
-            for own, known in self.known_by_control.items():
+            for own, known in self.directory_by_control.items():
                 if own != sender:
-                    known.hear(hello, self.now)
+                    known.handle_hello(hello, self.now)
 
-    def _note_complete(self) -> None:
+    def _record_complete(self) -> None:
         for node in self.balancers:
             agents = node.inquirer.view.agent_by_address.values()
             ready = [one for one in agents if one.readiness is Readiness.READY]
@@ -210,10 +214,10 @@
 
     def test_reaches_every_control_instance(self, fleet) -> None:
         """Guards against control instances that miss some agents."""
-        books = [
-            registry._book for registry in fleet.registry_by_control.values()
+        directories = [
+            handler._agents for handler in fleet.handler_by_control.values()
         ]
-        assert {len(book) for book in books} == {AGENTS}
+        assert {len(directory) for directory in directories} == {AGENTS}
 
     def test_distributes_processes_over_control_instances(self, fleet) -> None:
         """Guards against load concentrated on a few control instances."""
--- a/redwingstream/fleet/tests/test_probing.py
+++ b/redwingstream/fleet/tests/test_server_probe.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from redwingstream.endpoints import Endpoint
-from redwingstream.fleet.probing import has_ended
+from redwingstream.fleet.server_probe import has_ended
 
 HOST = '127.0.0.1'
 
