--- a/redwingstream/directory/agent_directory.py
+++ b/redwingstream/directory/agent_directory.py
@@ -32,6 +32,8 @@
 
 @attrs.define
 class _Entry:
+    """Last record of an agent, and the number of the change that stored it."""
+
     record: AgentRecord
     heard_at: float
     changed_at: int
--- a/redwingstream/directory/control_directory.py
+++ b/redwingstream/directory/control_directory.py
@@ -41,6 +41,8 @@
 
 @attrs.define
 class _Peer:
+    """Last hello of another control instance; None before the first one."""
+
     hello: ControlHello | None
     heard_at: float
     named_at: float
--- a/redwingstream/directory/fleet_record.py
+++ b/redwingstream/directory/fleet_record.py
@@ -61,7 +61,11 @@
 
 
 class Followers:
-    """The processes that have recently sent inquiries to a control instance."""
+    """Processes that have recently sent inquiries to a control instance.
+
+    A follower of the tables is a balancer, an agent, or a control instance
+    without a disk that polls control instances for them.
+    """
 
     def __init__(self) -> None:
         self._heard_at_by_address: dict[Address, float] = {}
--- a/redwingstream/directory/messages.py
+++ b/redwingstream/directory/messages.py
@@ -1,4 +1,9 @@
-"""Messages between control instances and the processes that poll them."""
+"""Messages between control instances and the processes that poll them.
+
+Tables are confirmed at a time when a majority of control instances has
+confirmed that they were the newest at that time.  A server is cold while it
+has just started and is given few new flows.
+"""
 
 import enum
 
--- a/redwingstream/directory/packing.py
+++ b/redwingstream/directory/packing.py
@@ -27,7 +27,7 @@
 
 def pack_records(records: Iterable[HeardRecord]) -> bytes:
     """Return records as compressed bytes; empty without records."""
-    rows = tuple(map(_row, records))
+    rows = tuple(map(_to_row, records))
     if not rows:
         return b''
     return zlib.compress(msgspec.msgpack.encode(rows), _COMPRESSION)
@@ -45,18 +45,18 @@
         return ()
     try:
         unpacked = zlib.decompressobj().decompress(packed, MAX_UNPACKED_BYTES)
-        return tuple(map(_heard, _decoder.decode(unpacked)))
+        return tuple(map(_from_row, _decoder.decode(unpacked)))
     except (zlib.error, msgspec.DecodeError, UnicodeDecodeError) as error:
         raise WireError(
             f"agents' records of {len(packed)} bytes cannot be read: {error}",
         ) from error
 
 
-def _row(heard: HeardRecord) -> _Row:
+def _to_row(heard: HeardRecord) -> _Row:
     age = round(heard.age * MS_PER_SECOND)
     return (*attrs.astuple(heard.record), age, heard.is_silent)
 
 
-def _heard(row: _Row) -> HeardRecord:
+def _from_row(row: _Row) -> HeardRecord:
     *fields, age, is_silent = row
     return HeardRecord(AgentRecord(*fields), age / MS_PER_SECOND, is_silent)
--- a/redwingstream/directory/tests/test_contacts.py
+++ b/redwingstream/directory/tests/test_contacts.py
@@ -3,8 +3,8 @@
 import pytest
 
 from redwingstream.directory.contacts import (
-    FIRST_PAUSE,
     EVICT_AFTER,
+    FIRST_PAUSE,
     MAX_BACKOFF_FACTOR,
     SOURCE_COUNT,
     UNRESPONSIVE_AFTER,
--- a/redwingstream/directory/tests/test_control_directory.py
+++ b/redwingstream/directory/tests/test_control_directory.py
@@ -1,9 +1,9 @@
 """Control instances that a hello names."""
 
 from redwingstream.directory.control_directory import (
-    HELLO_INTERVAL,
     ANNOUNCE_EVERY,
     ANNOUNCE_SECONDS,
+    HELLO_INTERVAL,
     ControlDirectory,
 )
 from redwingstream.directory.messages import ControlHello
--- a/redwingstream/directory/tests/test_fleet_record.py
+++ b/redwingstream/directory/tests/test_fleet_record.py
@@ -3,8 +3,8 @@
 import pytest
 
 from redwingstream.directory.fleet_record import (
-    FAILED_WRITE_PAUSE,
     EVICT_AFTER,
+    FAILED_WRITE_PAUSE,
     MAX_PROCESSES,
     WRITE_INTERVAL,
     Followers,
--- a/redwingstream/directory/tests/test_inquiry.py
+++ b/redwingstream/directory/tests/test_inquiry.py
@@ -5,13 +5,13 @@
 import attrs
 import pytest
 
+from redwingstream.directory.contacts import SOURCE_COUNT
 from redwingstream.directory.inquiry import (
-    FETCH_PAUSE,
     EXPEDITED_SHARE,
+    FETCH_PAUSE,
     Inquirer,
     pack_update,
 )
-from redwingstream.directory.contacts import SOURCE_COUNT
 from redwingstream.directory.messages import (
     Report,
     Status,
--- a/redwingstream/directory/tests/test_view.py
+++ b/redwingstream/directory/tests/test_view.py
@@ -9,8 +9,8 @@
     Readiness,
 )
 from redwingstream.directory.view import (
-    EVICT_AFTER,
     CONTROL_TIMEOUT,
+    EVICT_AFTER,
     AgentView,
 )
 from redwingstream.packets.flow import Address
--- a/redwingstream/directory/view.py
+++ b/redwingstream/directory/view.py
@@ -64,6 +64,8 @@
 
 @attrs.define
 class _Source:
+    """Last records of all agents from one run of a control instance."""
+
     boot: int
     answered_at: float
     observation_by_address: dict[Address, _Observation] = attrs.field(
--- a/redwingstream/fleet/agent.py
+++ b/redwingstream/fleet/agent.py
@@ -7,26 +7,26 @@
 from redwingstream.directory.inquiry import Inquirer, InquiryResult
 from redwingstream.directory.messages import AgentRecord
 from redwingstream.errors import SettingError, WireError
+from redwingstream.fleet.control_client import ControlClient
 from redwingstream.fleet.deployment import (
     AGENT_OFFSET,
     DEFAULT_IDLE_TIMEOUT,
     LocalServer,
 )
-from redwingstream.fleet.control_client import ControlClient
+from redwingstream.fleet.packet_sender import PacketSender
 from redwingstream.fleet.process import PeriodicTask, Process
-from redwingstream.fleet.server_reports import ServerReportHandler
 from redwingstream.fleet.routes import (
     log_agents,
     log_tables,
     routes_by_service,
 )
-from redwingstream.fleet.packet_sender import PacketSender
+from redwingstream.fleet.server_reports import ServerReportHandler
 from redwingstream.openings.gate import Gate, PoolRules
+from redwingstream.packets.agent_context import AgentContext, AgentLocation
+from redwingstream.packets.agent_flows import AgentFlows
 from redwingstream.packets.agent_forwarder import AgentForwarder
 from redwingstream.packets.envelopes import unpack_envelope
 from redwingstream.packets.flow import PacketCodec, address_of
-from redwingstream.packets.agent_flows import AgentFlows
-from redwingstream.packets.agent_context import AgentLocation, AgentContext
 from redwingstream.tables.snapshot import Tables
 from redwingstream.wire.datagrams import open_datagrams
 
--- a/redwingstream/fleet/balancer.py
+++ b/redwingstream/fleet/balancer.py
@@ -6,22 +6,22 @@
 
 from redwingstream.directory.inquiry import Inquirer, InquiryResult
 from redwingstream.errors import WireError
+from redwingstream.fleet.control_client import ControlClient
 from redwingstream.fleet.deployment import (
     BALANCER_OFFSET,
     DEFAULT_IDLE_TIMEOUT,
     Deployment,
 )
-from redwingstream.fleet.control_client import ControlClient
+from redwingstream.fleet.packet_sender import PacketSender
 from redwingstream.fleet.process import PeriodicTask, Process, ProcessReady
 from redwingstream.fleet.routes import (
     log_agents,
     log_tables,
     routes_by_service,
 )
-from redwingstream.fleet.packet_sender import PacketSender
+from redwingstream.packets.balancer_forwarder import BalancerForwarder
 from redwingstream.packets.envelopes import MAGIC, unpack_envelope
 from redwingstream.packets.flow import PacketCodec, address_of
-from redwingstream.packets.balancer_forwarder import BalancerForwarder
 from redwingstream.wire.datagrams import open_datagrams
 
 HOUSEKEEPING_INTERVAL = 0.2
@@ -129,8 +129,8 @@
         log_agents(self.process, result.agents)
         if result.has_new_tables:
             self._apply_newest_tables()
-        # Newer tables are applied first: by older ones, a flow whose route was
-        # moved to the pool that serves it would be declared dead.
+        # Newer tables are applied first: by older ones, a flow would be declared
+        # dead whose route has meanwhile been given the pool that serves it.
         now = self.process.clock()
         self.packet_sender.send_all(self.forwarder.reset_dead_flows(now))
         if result.agents or result.has_new_tables:
--- a/redwingstream/fleet/control.py
+++ b/redwingstream/fleet/control.py
@@ -20,12 +20,12 @@
     Unchanged,
 )
 from redwingstream.errors import WireError
+from redwingstream.fleet.control_client import ControlClient
 from redwingstream.fleet.deployment import CONTROL_OFFSET
 from redwingstream.fleet.events import AgentSilent
-from redwingstream.fleet.control_client import ControlClient
+from redwingstream.fleet.inquiry_handler import InquiryHandler, TableSource
 from redwingstream.fleet.outcomes import OutcomeWaiter
 from redwingstream.fleet.process import PeriodicTask, Process
-from redwingstream.fleet.inquiry_handler import InquiryHandler, TableSource
 from redwingstream.fleet.replication import Replication
 from redwingstream.packets.flow import (
     Address,
--- a/redwingstream/fleet/process.py
+++ b/redwingstream/fleet/process.py
@@ -74,7 +74,7 @@
 
 @event
 class LibraryLogged:
-    """A line from the standard library's loggers, which libraries use."""
+    """A library or shared module has logged a line by standard logging."""
 
     logger: str
     level: str
@@ -229,11 +229,11 @@
     @contextlib.contextmanager
     def running(self, *tasks: PeriodicTask) -> Iterator[None]:
         """Run periodic tasks until the end of the block."""
-        own = (
+        own_tasks = (
             PeriodicTask('reload', self._reload_periodically),
             PeriodicTask('delay', self.delay_monitor.check),
         )
-        timers = [PeriodicTimer(self, task) for task in (*tasks, *own)]
+        timers = [PeriodicTimer(self, task) for task in (*tasks, *own_tasks)]
         try:
             yield
         finally:
--- a/redwingstream/fleet/replication.py
+++ b/redwingstream/fleet/replication.py
@@ -19,9 +19,9 @@
 )
 from redwingstream.eventlog.lines import event
 from redwingstream.fleet.deployment import CONTROL_OFFSET
+from redwingstream.fleet.fleet_record_store import FleetRecordStore, ServedState
 from redwingstream.fleet.outcomes import OutcomeWaiter
 from redwingstream.fleet.process import Process, ProcessReady
-from redwingstream.fleet.fleet_record_store import FleetRecordStore, ServedState
 from redwingstream.packets.flow import Address
 from redwingstream.storage.disk import DiskFolder, open_folder
 from redwingstream.tables.machine.machine import Outcome
--- a/redwingstream/fleet/server_reports.py
+++ b/redwingstream/fleet/server_reports.py
@@ -4,8 +4,8 @@
 
 from redwingstream.endpoints import Endpoint
 from redwingstream.fleet.events import ServerEnded, ServerReported
-from redwingstream.fleet.server_probe import has_ended
 from redwingstream.fleet.process import Process, ProcessReady
+from redwingstream.fleet.server_probe import has_ended
 from redwingstream.openings.gate import Gate
 from redwingstream.openings.reports import ServerReport
 from redwingstream.packets.agent_flows import AgentFlows
--- a/redwingstream/fleet/tests/test_agent.py
+++ b/redwingstream/fleet/tests/test_agent.py
@@ -9,7 +9,7 @@
 from redwingstream.directory.messages import Inquiry, Readiness
 from redwingstream.endpoints import Endpoint
 from redwingstream.fleet.agent import Agent
-from redwingstream.fleet.deployment import LocalServer, ListenEndpoints
+from redwingstream.fleet.deployment import ListenEndpoints, LocalServer
 from redwingstream.fleet.tests.fakes import (
     DEPLOYMENT,
     KEY,
--- a/redwingstream/fleet/tests/test_delays.py
+++ b/redwingstream/fleet/tests/test_delays.py
@@ -3,8 +3,8 @@
 import pytest
 
 from redwingstream.fleet.delays import (
-    LATE_AFTER,
     CHECK_INTERVAL,
+    LATE_AFTER,
     DelayMonitor,
     ProcessDelayed,
 )
--- a/redwingstream/fleet/tests/test_fleet_record_store.py
+++ b/redwingstream/fleet/tests/test_fleet_record_store.py
@@ -8,9 +8,9 @@
 from redwingstream.errors import ResultCode
 from redwingstream.fleet.fleet_record_store import (
     FILE_NAME,
-    FleetRecordStore,
     FleetRecalled,
     FleetRecordFailed,
+    FleetRecordStore,
     ServedState,
 )
 from redwingstream.packets.flow import Address
--- a/redwingstream/fleet/tests/test_inquiry_handler.py
+++ b/redwingstream/fleet/tests/test_inquiry_handler.py
@@ -21,14 +21,14 @@
 )
 from redwingstream.directory.packing import unpack_records
 from redwingstream.fleet.inquiry_handler import (
+    BASE_PAUSE,
     FULL_REPORT_EVERY,
-    PAUSES_WITHOUT_RECORD,
     MAX_INQUIRIES,
     MAX_URGENT_INQUIRIES,
+    MIN_WARMUP,
     PAUSE_UPDATE_INTERVAL,
-    BASE_PAUSE,
+    PAUSES_WITHOUT_RECORD,
     UNCONFIRMED_AGE,
-    MIN_WARMUP,
     InquiryHandler,
     TableSource,
 )
@@ -94,10 +94,10 @@
 
     def test_is_longer_without_a_record(self, handler) -> None:
         inquiry = Inquiry(FULL_REPORT_EVERY, 0, 0, 0)
-        listener = handler.answer(inquiry, _tables(), NOW)
-        speaking = attrs.evolve(inquiry, record=RECORD)
-        agent = handler.answer(speaking, _tables(), NOW)
-        assert listener.pause == agent.pause * PAUSES_WITHOUT_RECORD
+        other = handler.answer(inquiry, _tables(), NOW)
+        with_record = attrs.evolve(inquiry, record=RECORD)
+        agent = handler.answer(with_record, _tables(), NOW)
+        assert other.pause == agent.pause * PAUSES_WITHOUT_RECORD
 
     def test_grows_with_the_number_of_processes(self) -> None:
         """Guards against overloading a control instance with inquiries."""
@@ -108,30 +108,30 @@
         handler = InquiryHandler(
             OWN, BOOT, 0, AgentDirectory(), controls, followers
         )
-        speaking = Inquiry(1, 0, 0, 0, '', RECORD)
-        waiting = handler.answer(speaking, _tables(age=float('inf')), NOW)
+        with_record = Inquiry(1, 0, 0, 0, '', RECORD)
+        waiting = handler.answer(with_record, _tables(age=float('inf')), NOW)
         assert waiting.pause == 2 * MAX_INQUIRIES / MAX_URGENT_INQUIRIES
-        assert handler.answer(speaking, _tables(), 2 * NOW).pause == 2
+        assert handler.answer(with_record, _tables(), 2 * NOW).pause == 2
 
 
 class TestWanted:
     """Answers by requested content."""
 
     def test_status_contains_no_records(self, handler) -> None:
-        speaking = Inquiry(1, 0, 0, 0, '', RECORD, Wanted.STATUS)
-        answer = handler.answer(speaking, _tables(3), NOW)
+        with_record = Inquiry(1, 0, 0, 0, '', RECORD, Wanted.STATUS)
+        answer = handler.answer(with_record, _tables(3), NOW)
         assert answer == Status(1, OWN, 3, 0, BASE_PAUSE)
 
     def test_status_inquiry_registers_the_agent(self, handler) -> None:
         """Guards against agents known only to their sources."""
-        speaking = Inquiry(1, 0, 0, 0, '', RECORD, Wanted.STATUS)
-        handler.answer(speaking, _tables(), NOW)
+        with_record = Inquiry(1, 0, 0, 0, '', RECORD, Wanted.STATUS)
+        handler.answer(with_record, _tables(), NOW)
         report = handler.answer(Inquiry(1, 0, 0, 0), _tables(), NOW)
         assert len(unpack_records(report.records)) == 1
 
     def test_tables_report_contains_no_records(self, handler) -> None:
-        speaking = Inquiry(1, 0, 0, 0, '', RECORD, Wanted.TABLES)
-        report = handler.answer(speaking, _tables(3), NOW)
+        with_record = Inquiry(1, 0, 0, 0, '', RECORD, Wanted.TABLES)
+        report = handler.answer(with_record, _tables(3), NOW)
         assert report.update
         assert not report.records
         assert report.brings is Wanted.TABLES
