--- a/redwingstream/fleet/balancer.py
+++ b/redwingstream/fleet/balancer.py
@@ -129,8 +129,9 @@
         log_agents(self.process, result.agents)
         if result.has_new_tables:
             self._apply_newest_tables()
-        # Newer tables are applied first: by older ones, a flow would be declared
-        # dead whose route has meanwhile been given the pool that serves it.
+        # Newer tables are applied first: by older ones, a flow would be
+        # declared dead whose route has since been given the pool that serves
+        # it.
         now = self.process.clock()
         self.packet_sender.send_all(self.forwarder.reset_dead_flows(now))
         if result.agents or result.has_new_tables:
