--- a/redwingstream/agent/reactions.py
+++ b/redwingstream/agent/ack_relay.py
@@ -1,4 +1,4 @@
-"""Callers' ACKs and RSTs to notifications, on their way to the carrier."""
+"""Relays callers' ACKs and RSTs of notifications to the feeds' carriers."""
 
 import attrs
 from aiocoap.message import Message
@@ -10,43 +10,47 @@
 
 
 class AckRelay:
-    """Finds who waits for a caller's reaction.
+    """Passes callers' ACKs and RSTs to each agent that may wait for them.
 
     Parameters
     ----------
     parts : AgentParts
-        The agent.
+        State that the modules of the agent share.
     feeds : FeedRelay
-        Feeds of the own server.
+        Feeds of the server beside this agent.
 
     Notes
     -----
-    A reaction names a message id and no token, so the home cannot tell which
-    feed it is for; those who did not send that id ignore it.
+    ACK and RST carry a message id but no token, so the home cannot tell which
+    feed they belong to.  Carriers that did not send that id ignore them.
     """
 
     def __init__(self, parts: AgentParts, feeds: FeedRelay) -> None:
         self._parts = parts
         self._feeds = feeds
 
-    def take(
-        self, packet: Packet, reaction: Message, bucket: int, now: float
+    def relay(
+        self, packet: Packet, message: Message, bucket: int, now: float
     ) -> None:
-        """Take a reaction, and pass it on to others who may wait for it."""
+        """Handle an ACK or RST here and pass it on.
+
+        The home, or its heir while the home is silent, passes it to the
+        carriers of the caller's flows; any other agent passes it to the home.
+        """
         parts = self._parts
-        effects = parts.feeds.reply(
-            packet.caller, packet.service, reaction, now
-        )
+        effects = parts.feeds.reply(packet.caller, packet.service, message, now)
         self._feeds.perform(effects, now)
-        following = attrs.evolve(packet, hops=packet.hops + 1)
+        forwarded = attrs.evolve(packet, hops=packet.hops + 1)
         home = parts.home_of(bucket)
-        if parts.is_this_agent(home) or self._stands_in(bucket, now):
-            self._pass_to_carriers(following)
+        if parts.is_this_agent(home) or self._is_heir_of_silent_home(
+            bucket, now
+        ):
+            self._pass_to_carriers(forwarded)
         elif home is not None and not packet.hops:
-            parts.out.to_peer(home.endpoint, following)
+            parts.out.to_peer(home.endpoint, forwarded)
 
-    def _stands_in(self, bucket: int, now: float) -> bool:
-        """Whether this agent is heir of a home that is silent."""
+    def _is_heir_of_silent_home(self, bucket: int, now: float) -> bool:
+        """Whether this agent is the heir and the home is silent."""
         parts = self._parts
         home = parts.home_of(bucket)
         if home is None or not parts.is_this_agent(parts.heir_of(bucket)):
--- a/redwingstream/agent/core.py
+++ b/redwingstream/agent/core.py
@@ -1,7 +1,11 @@
-"""All decisions of an agent behind one door, without I/O and clock."""
+"""Entry point of an agent's decisions, without I/O and without a clock.
+
+The runner passes messages, packets of the server and the time in; what is to
+be sent leaves through :class:`~redwingstream.agent.outputs.Outputs`.
+"""
 
 from redwingstream.agent.assembly import AgentComponents
-from redwingstream.agent.inbox import AgentMessage
+from redwingstream.agent.message_types import AgentMessage
 from redwingstream.agent.parts import AgentParts
 from redwingstream.endpoints import parse_endpoint
 from redwingstream.errors import ResultCode
@@ -26,123 +30,147 @@
 from redwingstream.tables.snapshot import Tables
 
 ZONE_OUT_GRACE = 2.0
-"""Seconds that running requests have once their zone is taken out."""
+"""Seconds for which requests may still run after their zone is taken out."""
 
 
 class AgentCore:
-    """One run of an agent that control has admitted.
+    """One run of an agent that the control instances have admitted.
 
     Parameters
     ----------
     parts : AgentParts
-        What it is made of.
+        State that the modules of the agent share.
     """
 
     def __init__(self, parts: AgentParts) -> None:
         self.parts = parts
-        self._desks = AgentComponents(parts)
+        self._components = AgentComponents(parts)
         self._zone_out_at: float | None = None
         self._is_stopping = False
 
     def apply_tables(self, tables: Tables, now: float) -> None:
-        """Go by newer tables."""
+        """Apply newer tables."""
         parts = self.parts
-        desks = self._desks
+        components = self._components
         parts.store.now = now
         parts.apply_tables(tables, now)
         view = tables.view_by_pool.get(parts.identity.pool)
         if view is not None:
-            desks.keeper.perform(parts.keeper.adopt(view, now), now)
-        desks.handle_view_change(now)
+            components.keeper.perform(parts.keeper.adopt(view, now), now)
+        components.handle_view_change(now)
         member = tables.member_by_host.get(parts.identity.host)
         is_marked = member is not None and member.draining
         parts.is_leaving = self._is_stopping or is_marked
-        if parts.is_former_run():
-            # Its homes place the feeds of a removed run elsewhere.
-            desks.feeds.release_all(now)
-        self._mind_zone(now)
+        if parts.is_removed():
+            # The homes of its feeds place them with other carriers.
+            components.feeds.release_all(now)
+        self._check_zone(now)
 
     def handle_message(
         self, message: AgentMessage, source: str, now: float
     ) -> None:
-        """Take a frame of another process."""
+        """Handle a message from another process.
+
+        Parameters
+        ----------
+        message : AgentMessage
+            The decoded message.
+        source : str
+            ``IP:PORT`` of the sender.
+        now : float
+            Current time in seconds, by the event loop's clock.
+        """
         parts = self.parts
-        desks = self._desks
+        components = self._components
         parts.store.now = now
         parts.links.heard(parse_endpoint(source))
         match message:
             case Packet():
                 parts.out.fetch_if_newer(message.revision, source)
-                desks.dispatcher.take(message, now)
+                components.dispatcher.handle_packet(message, now)
             case Assigned():
-                desks.assigned.take(message, now)
+                components.assigned.handle_assignment(message, now)
             case RunOutcome():
-                desks.non_idempotent.outcome(message, now)
+                components.non_idempotent.handle_outcome(message, now)
             case LoadReport():
                 parts.loads.handle_report(message, now)
             case Record() | RecordAck() | TakeBucket() | BucketGiven():
                 effects = parts.keeper.on_message(message, now, source)
-                desks.keeper.perform(effects, now)
+                components.keeper.perform(effects, now)
             case _:
-                self._take_feed_message(message, source, now)
+                self._handle_feed_message(message, source, now)
 
     def handle_server_packet(
         self, packet: bytes, source: int, now: float
     ) -> None:
-        """Take a packet of the backend server."""
+        """Handle a packet from the backend server.
+
+        Parameters
+        ----------
+        packet : bytes
+            The encoded CoAP message.
+        source : int
+            Number of the socket to the server that received it.
+        now : float
+            Current time in seconds, by the event loop's clock.
+        """
         self.parts.store.now = now
         effects = self.parts.upstream.receive(packet, now, source)
-        self._desks.server.perform(effects, now)
+        self._components.server.perform(effects, now)
 
     def handle_server_unreachable(self, now: float) -> None:
-        """Take the hint that nobody listens at the server's address."""
+        """Handle the ICMP error that no socket listens at the server's port."""
         effects = self.parts.upstream.refused(now)
-        self._desks.server.perform(effects, now)
+        self._components.server.perform(effects, now)
 
     def tick(self, now: float) -> None:
-        """Do what is due; called many times a second."""
+        """Run periodic work; called many times a second."""
         parts = self.parts
         parts.store.now = now
-        self._desks.tick(now)
-        parts.store.expire(now)
+        self._components.tick(now)
+        parts.store.evict_expired(now)
         out_at = self._zone_out_at
         if out_at is not None and now - out_at > ZONE_OUT_GRACE:
-            self._desks.executor.cancel_all(now)
+            self._components.executor.cancel_all(now)
 
     def leave(self) -> None:
-        """Take no new work; ask the homes to place the feeds elsewhere.
+        """Refuse new work and ask the homes to place the feeds elsewhere.
 
-        Called when the process was told to stop.  Operators' drain marks do
-        the same through the tables, and can be taken back.
+        Called when the process was told to stop.  An operator's drain mark in
+        the tables has the same effect, and can be removed again.
         """
         self._is_stopping = True
         self.parts.is_leaving = True
-        self._desks.feeds.schedule_moves()
+        self._components.feeds.schedule_moves()
 
     def is_idle(self) -> bool:
-        """Whether nothing has an outcome outstanding and no feed is here."""
-        desks = self._desks
-        unfinished = len(desks.executor) + len(desks.non_idempotent)
+        """Whether no request awaits its outcome and no feed is carried here."""
+        components = self._components
+        unfinished = len(components.executor) + len(components.non_idempotent)
         return not unfinished and not len(self.parts.feeds)
 
     def end_unfinished(self, now: float) -> None:
-        """End what has not finished, truthfully: the time to leave is up."""
+        """End requests and feeds that are left when the drain time is over.
+
+        Callers are told what is known of their requests: *not run* only of
+        those that certainly have not run.
+        """
         self._end_requests(now)
-        self._desks.feeds.end_all(ResultCode.DRAINING, now)
+        self._components.feeds.end_all(ResultCode.DRAINING, now)
 
     def retire(self, now: float) -> None:
-        """End this run: control has admitted a later one of this process.
+        """End this run, because a later run of the process is admitted.
 
-        Guards against a process that was frozen or cut off for longer than
-        its lease.  Others hold its buckets now, and its feeds are placed
-        elsewhere, so nothing that it still holds is of use; what the server
-        is running for it is cancelled and told as *unknown*.
+        This happens after the process was frozen or cut off for longer than
+        its lease.  Other agents hold its buckets by then and its feeds are
+        placed elsewhere, so its state is obsolete.  Requests that the server
+        is running for it are cancelled and answered as *unknown*.
         """
         self._end_requests(now)
-        self._desks.feeds.release_all(now)
+        self._components.feeds.release_all(now)
 
     def vitals(self) -> Vitals:
-        """Return what the heartbeat says of this agent."""
+        """Return the load and state that the heartbeat carries."""
         parts = self.parts
         return Vitals(
             revision=parts.tables.revision,
@@ -152,31 +180,31 @@
             limit=parts.limit.limit,
         )
 
-    def _take_feed_message(
+    def _handle_feed_message(
         self, message: AgentMessage, source: str, now: float
     ) -> None:
-        desks = self._desks
+        components = self._components
         match message:
             case FeedMove():
-                desks.moves.handle_feed_move(message, source, now)
+                components.moves.handle_feed_move(message, source, now)
             case FeedEnd():
-                desks.moves.handle_feed_end(message, now)
+                components.moves.handle_feed_end(message, now)
             case CarriedFeeds():
-                desks.checks.handle_carried_feeds(message, source, now)
+                components.checks.handle_carried_feeds(message, source, now)
             case TakeFeed():
-                desks.feeds.handle_take_feed(message, now)
+                components.feeds.handle_take_feed(message, now)
             case FeedMoved():
                 effects = self.parts.feeds.moved(message)
-                desks.feeds.perform(effects, now)
+                components.feeds.perform(effects, now)
 
     def _end_requests(self, now: float) -> None:
-        self._desks.dispatcher.give_up(now)
-        self._desks.non_idempotent.give_up(now)
-        self._desks.executor.cancel_all(now)
+        self._components.dispatcher.end_all(now)
+        self._components.non_idempotent.end_all(now)
+        self._components.executor.cancel_all(now)
 
-    def _mind_zone(self, now: float) -> None:
+    def _check_zone(self, now: float) -> None:
         if not self.parts.is_zone_out():
             self._zone_out_at = None
         elif self._zone_out_at is None:
             self._zone_out_at = now
-            self._desks.feeds.end_all(ResultCode.ZONE_OUT, now)
+            self._components.feeds.end_all(ResultCode.ZONE_OUT, now)
--- a/redwingstream/agent/effects.py
+++ b/redwingstream/agent/effects.py
@@ -1,4 +1,4 @@
-"""Who carries out the effects of the decision objects."""
+"""Types of the functions that carry out effects of decisions."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 from redwingstream.placement.effects import Effect
 
 PerformKeeperEffects = Callable[[list[Effect], float], None]
-"""Carries out what a keeper of buckets asks for, at a time."""
+"""Carries out effects of the keeper of buckets at a time in seconds."""
 
 PerformServerEffects = Callable[[list[UpstreamEffect], float], None]
-"""Carries out what the server's side asks for, at a time."""
+"""Carries out effects of the link to the server at a time in seconds."""
--- a/redwingstream/agent/feed_moves.py
+++ b/redwingstream/agent/feed_moves.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from redwingstream.agent.assignments import OutgoingAssignments
+from redwingstream.agent.outgoing_assignments import OutgoingAssignments
 from redwingstream.agent.effects import PerformKeeperEffects
 from redwingstream.agent.feeds import FeedRelay
 from redwingstream.agent.parts import AgentParts
--- a/redwingstream/agent/openings.py
+++ b/redwingstream/agent/feed_openings.py
@@ -1,4 +1,4 @@
-"""Registers feeds at the server, at the pace that it can bear."""
+"""Registers feeds at the server, at the rate that admission allows."""
 
 from aiocoap.message import Message
 
@@ -9,18 +9,19 @@
 from redwingstream.wire import coap
 
 UNSERVED_FEED_TIMEOUT = 2.0
-"""Seconds after which a feed that its server does not take moves elsewhere."""
+"""Seconds after which a feed that the server does not accept moves to another
+agent."""
 
 
 class FeedOpenings:
-    """The feeds at the server, as admission counts them.
+    """Opens and closes feeds at the server and counts them for admission.
 
     Parameters
     ----------
     parts : AgentParts
-        The agent.
+        State that the modules of the agent share.
     perform : callable
-        Carries out what the server's side asks for.
+        Carries out the effects of the link to the server.
     """
 
     def __init__(
@@ -32,7 +33,7 @@
         self._open: set[FeedSource] = set()
 
     def open_waiting(self, now: float) -> None:
-        """Register waiting feeds, as many as the server can bear."""
+        """Register waiting feeds, as many as admission allows."""
         parts = self._parts
         if parts.server_is_silent or parts.is_zone_out():
             return
@@ -46,7 +47,7 @@
             self._open_one(opens[0], now)
 
     def handle_notification(self, source: FeedSource, now: float) -> bool:
-        """Take a notification; True when it is the first one."""
+        """Handle a notification; return True if it is the feed's first."""
         started_at = self._opening_at.pop(source, None)
         if started_at is None:
             return False
@@ -58,12 +59,23 @@
     def handle_end(
         self, source: FeedSource, response: Message | None, now: float
     ) -> None:
-        """Take the end of a feed at the server.
+        """Handle that the server has ended a feed.
+
+        Parameters
+        ----------
+        source : FeedSource
+            The feed.
+        response : Message, optional
+            The response that ended it; None when the server did not answer.
+        now : float
+            Current time in seconds, by the event loop's clock.
 
         Notes
         -----
-        An answer that is no refusal, such as 4.04, says that the server works:
-        one caller that asks for what is not there must not turn it cold.
+        A response other than a refusal, such as 4.04 (Not Found), shows that
+        the server works.  It counts as completed: otherwise one caller that
+        asks for a missing resource would make admission treat the server as
+        cold.
         """
         run_result = RunResult.TIMED_OUT
         if response is not None:
@@ -71,15 +83,15 @@
             run_result = (
                 RunResult.REFUSED if is_refusal else RunResult.COMPLETED
             )
-        self._give_back(source, run_result, now)
+        self._release(source, run_result, now)
 
     def close(self, source: FeedSource, now: float) -> None:
         """Deregister a feed at the server."""
-        self._give_back(source, RunResult.CANCELLED, now)
+        self._release(source, RunResult.CANCELLED, now)
         self._perform(self._parts.upstream.close_feed(source, now), now)
 
     def handle_server_restart(self, now: float) -> None:
-        """Forget what the server has forgotten; admission starts cold."""
+        """Drop all feeds, which a restarted server has lost; start cold."""
         for started_at in self._opening_at.values():
             self._finish(started_at, RunResult.CANCELLED, now)
         self._opening_at.clear()
@@ -97,18 +109,18 @@
         )
         self._perform(effects, now)
 
-    def _give_back(
+    def _release(
         self, source: FeedSource, run_result: RunResult, now: float
     ) -> None:
         started_at = self._opening_at.pop(source, None)
         if started_at is not None:
             self._finish(started_at, run_result, now)
-            self._end_opening(run_result)
+            self._record_opening_end(run_result)
         elif source in self._open:
             self._open.discard(source)
             self._parts.feed_limit.record_closed()
 
-    def _end_opening(self, run_result: RunResult) -> None:
+    def _record_opening_end(self, run_result: RunResult) -> None:
         feed_limit = self._parts.feed_limit
         if run_result in {RunResult.TIMED_OUT, RunResult.REFUSED}:
             feed_limit.record_failed()
--- a/redwingstream/agent/feeds.py
+++ b/redwingstream/agent/feeds.py
@@ -4,7 +4,10 @@
 from aiocoap.message import Message
 
 from redwingstream.agent.effects import PerformServerEffects
-from redwingstream.agent.openings import UNSERVED_FEED_TIMEOUT, FeedOpenings
+from redwingstream.agent.feed_openings import (
+    UNSERVED_FEED_TIMEOUT,
+    FeedOpenings,
+)
 from redwingstream.agent.parts import AgentParts
 from redwingstream.agent.replies import Replies
 from redwingstream.errors import ResultCode
--- a/redwingstream/agent/home.py
+++ b/redwingstream/agent/flow_placement.py
@@ -1,17 +1,22 @@
-"""Decides on idempotent requests of the buckets of which this agent is home."""
+"""Decides on idempotent requests of the buckets of which this agent is home.
+
+A request runs on the server beside this agent where that has room, else at
+another agent.  The choice is recorded for feeds and for transfers in blocks,
+so that later packets of the flow reach the same carrier.
+"""
 
 import functools
 
 import attrs
 from aiocoap.message import Message
 
-from redwingstream.agent.assignments import OutgoingAssignments
-from redwingstream.agent.carrier import RequestExecutor
 from redwingstream.agent.effects import PerformKeeperEffects
 from redwingstream.agent.feeds import FeedRelay
+from redwingstream.agent.outgoing_assignments import OutgoingAssignments
 from redwingstream.agent.parts import AgentParts
 from redwingstream.agent.replies import Replies
-from redwingstream.agent.runs import Run, deadline_of
+from redwingstream.agent.request_executor import RequestExecutor
+from redwingstream.agent.runs import Run, request_deadline
 from redwingstream.agent.wait_queue import Waiter
 from redwingstream.endpoints import parse_endpoint
 from redwingstream.errors import ResultCode
@@ -22,8 +27,11 @@
 from redwingstream.wire import coap
 
 RECORD_TIMEOUT = 4.5
-"""Seconds that a record may take; longer than control needs to replace a dead
-heir, so that a feed is opened under the next view rather than refused."""
+"""Seconds for which a record may stay unacknowledged.
+
+Longer than the control instances need to replace a dead heir, so that a feed
+is opened under the next view rather than refused.
+"""
 
 
 @attrs.frozen(eq=False)
@@ -35,72 +43,78 @@
 
 
 class FlowPlacement:
-    """Places feeds and plain requests, and remembers where.
+    """Places feeds and plain requests, and records their carriers.
 
     Parameters
     ----------
     parts : AgentParts
-        The agent.
+        State that the modules of the agent share.
     replies : Replies
         Builds and sends final answers.
-    carrier : Carrier
-        Runs at the own server.
+    executor : RequestExecutor
+        Runs requests on the server beside this agent.
     feeds : FeedRelay
-        Feeds of the own server.
-    assignments : Assignments
+        Feeds of the server beside this agent.
+    assignments : OutgoingAssignments
         Chooses other agents.
     perform : callable
-        Carries out what the keeper asks for.
+        Carries out the effects that the keeper of buckets returns.
     """
 
     def __init__(
         self,
         parts: AgentParts,
         replies: Replies,
-        carrier: RequestExecutor,
+        executor: RequestExecutor,
         feeds: FeedRelay,
         assignments: OutgoingAssignments,
         perform: PerformKeeperEffects,
     ) -> None:
         self._parts = parts
         self._replies = replies
-        self._carrier = carrier
+        self._executor = executor
         self._feeds = feeds
         self._assignments = assignments
         self._perform = perform
         self._waiting_by_ticket: dict[int, _WaitingFeed] = {}
         self._waiting_keys: set[FlowKey] = set()
 
-    def plain(
+    def place_request(
         self, packet: Packet, request: Message, bucket: int, now: float
     ) -> None:
-        """Have a plain idempotent request run where its flow is."""
-        record = self._record_of(packet, request.token, now)
+        """Run a plain idempotent request at its flow's carrier, if it has one.
+
+        Without a carrier it runs on the server beside this agent, at another
+        agent, or after a wait; it is refused if none of these has room.
+        """
+        record = self._find_record(packet, request.token, now)
         if record is not None and self._pass_on(packet, record, now):
             return
         if request.opt.observe == coap.OBSERVE_CANCEL:
             self._feeds.deregister(packet, request, now)
-        run = Run(packet, request, bucket, deadline_of(request, now))
-        if self._start_now(run, now) or self._place_elsewhere(run, now):
+        run = Run(packet, request, bucket, request_deadline(request, now))
+        if self._try_start(run, now) or self._place_elsewhere(run, now):
             return
         waiter = Waiter(
             run.deadline,
-            functools.partial(self._start_now, run),
+            functools.partial(self._try_start, run),
             functools.partial(self._refuse, run),
         )
-        if not self._carrier.queue.enter(waiter, now):
+        if not self._executor.queue.enter(waiter, now):
             self._refuse(run, now)
 
-    def feed(
+    def place_feed(
         self, packet: Packet, request: Message, bucket: int, now: float
     ) -> None:
-        """Open a feed, or take the repetition of its registration."""
+        """Open a feed, or handle the repetition of its registration."""
         key = FlowKey(packet.caller, packet.service, request.token)
-        if key in self._waiting_keys or self.known_feed(packet, request, now):
+        if key in self._waiting_keys or self.forward_registration(
+            packet, request, now
+        ):
             return
         if self.is_established(packet, request, now):
-            # Its carrier is gone: the check of the feeds places it anew, also
-            # beyond the limits.  Refused as a new feed it would end here.
+            # Its carrier is gone.  FeedChecks places it anew, even beyond the
+            # limits; refusing it as a new feed would end it.
             self._parts.metrics.count('registration_awaits_carrier')
             return
         has_room = self._feeds.has_room(now)
@@ -118,68 +132,75 @@
         )
         self._record_feed(_WaitingFeed(opened, packet, request, bucket), now)
 
-    def known_feed(self, packet: Packet, request: Message, now: float) -> bool:
-        """Hand a registration to the carrier of its feed, if one lives."""
-        record = self._record_of(packet, request.token, now)
+    def forward_registration(
+        self, packet: Packet, request: Message, now: float
+    ) -> bool:
+        """Pass a registration to the carrier of its feed, if one is alive."""
+        record = self._find_record(packet, request.token, now)
         if record is None or not record.registration:
             return False
-        return self._go_on(record, packet, request, now)
+        return self._forward_to_carrier(record, packet, request, now)
 
     def is_established(
         self, packet: Packet, request: Message, now: float
     ) -> bool:
-        """Whether a registration repeats that of a feed known here."""
-        record = self._record_of(packet, request.token, now)
+        """Whether a registration repeats that of a feed recorded here."""
+        record = self._find_record(packet, request.token, now)
         return record is not None and bool(record.registration)
 
     def handle_recorded(self, ticket: int, now: float) -> bool:
-        """Start a feed that home and heir hold; False if it is none."""
-        waiting = self._take_waiting(ticket)
+        """Start the feed of a ticket, now that home and heir hold its record.
+
+        Returns False when the ticket is not that of a feed.
+        """
+        waiting = self._pop_waiting(ticket)
         if waiting is None:
             return False
-        self._go_on(waiting.record, waiting.packet, waiting.request, now)
+        self._forward_to_carrier(
+            waiting.record, waiting.packet, waiting.request, now
+        )
         return True
 
     def handle_record_refused(
         self, ticket: int, reason: ResultCode, now: float
     ) -> None:
-        """Refuse a feed that could not be recorded."""
-        waiting = self._take_waiting(ticket)
+        """Handle that the record of a feed was refused."""
+        waiting = self._pop_waiting(ticket)
         if waiting is None:
             return
         packet = waiting.packet
         home = self._parts.home_of(waiting.bucket)
         if reason is ResultCode.OUTCOME_UNKNOWN:
-            # An earlier home has opened it: to refuse it now would end an
-            # established feed.
-            self.feed(packet, waiting.request, waiting.bucket, now)
+            # An earlier home has opened the feed; refusing it now would end
+            # an established feed.
+            self.place_feed(packet, waiting.request, waiting.bucket, now)
         elif reason is ResultCode.STALE and home is not None:
             self._parts.out.to_peer(home.endpoint, packet)
         else:
             self._replies.refuse(packet, waiting.request, reason, now)
 
-    def _record_of(
+    def _find_record(
         self, packet: Packet, token: bytes, now: float
     ) -> FlowRecord | None:
         return self._parts.store.flows.carrier_of(
             packet.caller, packet.service, token, now
         )
 
-    def _go_on(
+    def _forward_to_carrier(
         self,
         record: FlowRecord,
         packet: Packet,
         request: Message,
         now: float,
     ) -> bool:
-        """Hand a registration to the feed's carrier, if that lives."""
+        """Pass a registration to the feed's carrier, if that is alive."""
         if record.carrier == self._parts.identity.carrier:
             self._feeds.register(record, packet, request, now)
             return True
         return self._pass_on(packet, record, now)
 
     def _pass_on(self, packet: Packet, record: FlowRecord, now: float) -> bool:
-        """Send a packet to the agent that carries its flow, if that lives."""
+        """Send a packet to the carrier of its flow, if that is alive."""
         if record.carrier == self._parts.identity.carrier:
             return False
         if self._parts.is_carrier_silent(record.carrier, now):
@@ -198,11 +219,11 @@
         self._parts.out.to_peer(endpoint, assigned)
         return True
 
-    def _start_now(self, run: Run, now: float) -> bool:
-        goes_on = is_later_block(run.request)
-        slot = self._carrier.reserve(now, goes_on=goes_on)
+    def _try_start(self, run: Run, now: float) -> bool:
+        is_continuation = is_later_block(run.request)
+        slot = self._executor.reserve(now, is_continuation=is_continuation)
         if slot is not None:
-            self._carrier.start(run, slot, now)
+            self._executor.start(run, slot, now)
         return slot is not None
 
     def _refuse(self, run: Run, now: float) -> None:
@@ -210,8 +231,8 @@
         self._replies.refuse(run.packet, run.request, overloaded, now)
 
     def _place_elsewhere(self, run: Run, now: float) -> bool:
-        # A block after the first must come from the server that sent the
-        # first: another one may have another representation.
+        # Later blocks must come from the server that sent the first one:
+        # another server may have another representation.
         carrier = ''
         if not is_later_block(run.request):
             carrier = self._assignments.choose_carrier(now)
@@ -223,8 +244,8 @@
         generation = self._parts.store.flows.next_generation(key)
         record = FlowRecord(key, carrier, generation)
         self._parts.store.flows.put(run.bucket, record, now)
-        # Not waited for: a placement that is forgotten costs a transfer in
-        # blocks its next block, which its caller asks for again.
+        # The acknowledgement is not awaited: if the placement is lost, the
+        # transfer in blocks loses one block, which its caller requests again.
         self._record_flow(record, run.bucket, now)
         return self._pass_on(packet, record, now)
 
@@ -246,7 +267,7 @@
         )
         self._perform(effects, now)
 
-    def _take_waiting(self, ticket: int) -> _WaitingFeed | None:
+    def _pop_waiting(self, ticket: int) -> _WaitingFeed | None:
         waiting = self._waiting_by_ticket.pop(ticket, None)
         if waiting is not None:
             self._waiting_keys.discard(waiting.record.key)
--- a/redwingstream/agent/assigned.py
+++ b/redwingstream/agent/incoming_assignments.py
@@ -1,4 +1,4 @@
-"""Requests that other homes have assigned to this agent's server."""
+"""Requests that other homes have assigned to this agent."""
 
 import functools
 from collections import OrderedDict
@@ -6,11 +6,11 @@
 
 import attrs
 
-from redwingstream.agent.carrier import RequestExecutor
 from redwingstream.agent.feeds import FeedRelay
 from redwingstream.agent.parts import REPLAY_HORIZON, AgentParts
 from redwingstream.agent.replies import Replies
-from redwingstream.agent.runs import Run, RunEnd, deadline_of
+from redwingstream.agent.request_executor import RequestExecutor
+from redwingstream.agent.runs import Run, RunEnd, request_deadline
 from redwingstream.agent.wait_queue import Waiter
 from redwingstream.errors import ResultCode, WireError
 from redwingstream.flows.blocks import is_later_block
@@ -23,50 +23,51 @@
 
 _Refuse = Callable[[Run, float], None]
 
-RETOLD_FOR = 60.0
-"""Seconds in which the outcome of a run is told to a new home of its bucket."""
+OUTCOME_REPORT_SECONDS = 60.0
+"""Seconds after an assignment in which its outcome is also reported to new
+homes of the bucket."""
 
 
 @attrs.define(eq=False)
-class _Known:
-    since: float
+class _KnownRun:
+    started_at: float
     end: RunEnd | None = None
 
 
 class IncomingAssignments:
-    """Runs what homes assign, each non-idempotent request once.
+    """Runs assigned requests, each non-idempotent one at most once.
 
     Parameters
     ----------
     parts : AgentParts
-        The agent.
+        State that the modules of the agent share.
     replies : Replies
         Builds and sends final answers.
-    carrier : Carrier
-        Runs at the own server.
+    executor : RequestExecutor
+        Runs requests on the server beside this agent.
     feeds : FeedRelay
-        Feeds of the own server.
+        Feeds of the server beside this agent.
     """
 
     def __init__(
         self,
         parts: AgentParts,
         replies: Replies,
-        carrier: RequestExecutor,
+        executor: RequestExecutor,
         feeds: FeedRelay,
     ) -> None:
         self._parts = parts
         self._replies = replies
-        self._carrier = carrier
+        self._executor = executor
         self._feeds = feeds
-        self._known: OrderedDict[Identity, _Known] = OrderedDict()
+        self._known: OrderedDict[Identity, _KnownRun] = OrderedDict()
 
-    def take(self, assigned: Assigned, now: float) -> None:
-        """Take an assignment, or its repetition."""
+    def handle_assignment(self, assigned: Assigned, now: float) -> None:
+        """Handle an assignment or its repetition."""
         self._parts.paths.heard(assigned.packet.balancer, now)
         if assigned.carrier_incarnation != self._parts.identity.incarnation:
-            # What the former run did is not known here: running it now could
-            # be a second run.
+            # The former run of this agent may have run the request; to run
+            # it here could run it twice.
             self._parts.metrics.count('assigned_to_former_run')
             return
         try:
@@ -75,51 +76,58 @@
             self._parts.metrics.count('caller_malformed')
             return
         if assigned.wants_outcome:
-            self._take_once(assigned, request, now)
+            self._handle_non_idempotent(assigned, request, now)
         elif request.opt.observe == coap.OBSERVE_REGISTER:
-            self._take_feed(assigned, request, now)
+            self._handle_feed(assigned, request, now)
         else:
-            self._take_plain(assigned, request, now)
+            self._handle_plain(assigned, request, now)
 
     def report_end(self, end: RunEnd, now: float) -> None:
-        """Tell the home how an assigned request ended."""
+        """Report the end of an assigned request to its home.
+
+        Also reported to the present home of the bucket, if that is another.
+        """
         known = self._known.get(end.run.identity)
         if known is not None:
             known.end = end
-        self._tell(end.run.home, end)
-        self._tell_other_home(end)
+        self._notify_home(end.run.home, end)
+        self._notify_new_home(end)
 
     def notify_new_homes(self, now: float) -> None:
-        """Tell new homes how requests ended that former ones assigned.
+        """Report outcomes to the new homes after a change of view.
 
-        Guards against a home that is lost before it hears an outcome: replays
-        would get *unknown*, although this agent has the answer.
+        A home may be lost before an outcome reaches it.  Without this report
+        replays would be answered as *unknown*, although this agent has the
+        answer.
         """
         for known in self._known.values():
-            if known.end is not None and now - known.since < RETOLD_FOR:
-                self._tell_other_home(known.end)
+            if (
+                known.end is not None
+                and now - known.started_at < OUTCOME_REPORT_SECONDS
+            ):
+                self._notify_new_home(known.end)
 
     def evict_expired(self, now: float) -> None:
-        """Forget assignments that no home repeats any more."""
+        """Evict assignments that no home repeats any more."""
         while self._known:
             identity, known = next(iter(self._known.items()))
-            if now - known.since < REPLAY_HORIZON:
+            if now - known.started_at < REPLAY_HORIZON:
                 return
             self._known.pop(identity)
 
-    def _take_once(
+    def _handle_non_idempotent(
         self, assigned: Assigned, request: coap.Message, now: float
     ) -> None:
-        run = self._run_of(assigned, request, now)
+        run = self._make_run(assigned, request, now)
         known = self._known.get(run.identity)
         if known is not None:
             if known.end is not None:
-                self._tell(assigned.home, known.end)
+                self._notify_home(assigned.home, known.end)
             return
-        self._known[run.identity] = _Known(now)
-        self._start(run, self._refuse_once, now)
+        self._known[run.identity] = _KnownRun(now)
+        self._start(run, self._refuse_non_idempotent, now)
 
-    def _take_feed(
+    def _handle_feed(
         self, assigned: Assigned, request: coap.Message, now: float
     ) -> None:
         packet = assigned.packet
@@ -131,37 +139,37 @@
         )
         self._feeds.register(record, packet, request, now)
 
-    def _take_plain(
+    def _handle_plain(
         self, assigned: Assigned, request: coap.Message, now: float
     ) -> None:
         packet = assigned.packet
         if request.opt.observe == coap.OBSERVE_CANCEL:
             self._feeds.deregister(packet, request, now)
         run = attrs.evolve(
-            self._run_of(assigned, request, now), home='', checksum=b''
+            self._make_run(assigned, request, now), home='', checksum=b''
         )
         self._start(run, self._refuse_plain, now)
 
     def _start(self, run: Run, refuse: _Refuse, now: float) -> None:
-        """Run a request now or in a moment, or refuse it."""
-        if self._start_now(run, now):
+        """Run a request now or after a wait in the queue, or refuse it."""
+        if self._try_start(run, now):
             return
         waiter = Waiter(
             run.deadline,
-            functools.partial(self._start_now, run),
+            functools.partial(self._try_start, run),
             functools.partial(refuse, run),
         )
-        if not self._carrier.queue.enter(waiter, now):
+        if not self._executor.queue.enter(waiter, now):
             refuse(run, now)
 
-    def _start_now(self, run: Run, now: float) -> bool:
-        goes_on = is_later_block(run.request)
-        slot = self._carrier.reserve(now, goes_on=goes_on)
+    def _try_start(self, run: Run, now: float) -> bool:
+        is_continuation = is_later_block(run.request)
+        slot = self._executor.reserve(now, is_continuation=is_continuation)
         if slot is not None:
-            self._carrier.start(run, slot, now)
+            self._executor.start(run, slot, now)
         return slot is not None
 
-    def _refuse_once(self, run: Run, now: float) -> None:
+    def _refuse_non_idempotent(self, run: Run, now: float) -> None:
         request = run.request
         answer = self._replies.not_run(request, ResultCode.OVERLOADED, now)
         self.report_end(RunEnd(run, RequestState.NOT_RUN, answer), now)
@@ -170,15 +178,15 @@
         overloaded = ResultCode.OVERLOADED
         self._replies.refuse(run.packet, run.request, overloaded, now)
 
-    def _tell(self, home: str, end: RunEnd) -> None:
+    def _notify_home(self, home: str, end: RunEnd) -> None:
         self._parts.out.to_peer(home, end.as_outcome())
 
-    def _tell_other_home(self, end: RunEnd) -> None:
+    def _notify_new_home(self, end: RunEnd) -> None:
         home = self._parts.home_of(end.run.bucket)
         if home is not None and home.endpoint != end.run.home:
-            self._tell(home.endpoint, end)
+            self._notify_home(home.endpoint, end)
 
-    def _run_of(
+    def _make_run(
         self, assigned: Assigned, request: coap.Message, now: float
     ) -> Run:
         packet = assigned.packet
@@ -186,7 +194,7 @@
             packet=packet,
             request=request,
             bucket=self._parts.bucket_of(packet.caller, packet.service),
-            deadline=deadline_of(request, now),
+            deadline=request_deadline(request, now),
             checksum=request_checksum(request),
             home=assigned.home,
         )
--- a/redwingstream/agent/keeper_effects.py
+++ b/redwingstream/agent/keeper_effects.py
@@ -1,10 +1,10 @@
 """Carries out what the keeper of buckets asks for."""
 
 from redwingstream.agent.feed_checks import FeedChecks
-from redwingstream.agent.home import FlowPlacement
-from redwingstream.agent.intake import PacketDispatcher
+from redwingstream.agent.flow_placement import FlowPlacement
+from redwingstream.agent.packet_dispatcher import PacketDispatcher
 from redwingstream.agent.feed_moves import FeedMoves
-from redwingstream.agent.once import NonIdempotentRequests
+from redwingstream.agent.non_idempotent import NonIdempotentRequests
 from redwingstream.agent.parts import AgentParts
 from redwingstream.errors import ResultCode
 from redwingstream.placement.effects import (
--- a/redwingstream/agent/inbox.py
+++ b/redwingstream/agent/message_types.py
@@ -1,4 +1,4 @@
-"""Classes of frames that an agent takes."""
+"""Classes of messages that an agent accepts from other processes."""
 
 from redwingstream.forwarding.messages import (
     Assigned,
--- a/redwingstream/agent/once.py
+++ b/redwingstream/agent/non_idempotent.py
@@ -1,9 +1,10 @@
 """Non-idempotent requests at their home: at most one run each.
 
-The order is: ledger, place on a server, record at home and heir, run.  Whatever
-goes wrong before the run ends as *not run*; whatever after it, as *unknown*.
-While the bucket is not in effect here, a request that looks new may be the
-replay of one that an earlier home has run, so nothing is called *not run* then.
+A request is entered in the ledger, gets a place on a server, is recorded at
+home and heir, and runs, in this order.  A failure before the run ends it as
+*not run*, a failure after that as *unknown*.  While the bucket is not in effect
+here, a request that looks new may be the replay of one that an earlier home has
+run; no request is answered as *not run* then.
 """
 
 import functools
@@ -11,14 +12,14 @@
 import attrs
 from aiocoap.message import Message
 
-from redwingstream.agent.assignments import OutgoingAssignments
-from redwingstream.agent.carrier import RequestExecutor, Slot
+from redwingstream.agent.awaited_outcomes import AwaitedOutcomes
 from redwingstream.agent.effects import PerformKeeperEffects
-from redwingstream.agent.elsewhere import RunsElsewhere
-from redwingstream.agent.request_endings import RequestEndings
+from redwingstream.agent.outgoing_assignments import OutgoingAssignments
 from redwingstream.agent.parts import AgentParts
 from redwingstream.agent.replies import Replies
-from redwingstream.agent.runs import Run, RunEnd, deadline_of, request_key
+from redwingstream.agent.request_endings import RequestEndings
+from redwingstream.agent.request_executor import RequestExecutor, Slot
+from redwingstream.agent.runs import Run, RunEnd, request_deadline, request_key
 from redwingstream.agent.wait_queue import Waiter
 from redwingstream.errors import ResultCode
 from redwingstream.forwarding.messages import Packet, RunOutcome
@@ -35,54 +36,65 @@
 from redwingstream.requests.records import RequestState
 
 RECORD_TIMEOUT = 4.5
-"""Seconds that a record may take; after that: not run.
+"""Seconds for which a record may stay unacknowledged before the request ends
+as *not run*.
 
-Longer than control needs to replace a dead heir (lease of 3 s), so that a
-request is run under the next view rather than refused.
+Longer than the control instances need to replace a dead heir (lease of 3 s), so
+that a request is run under the next view rather than refused.
 """
 
-SLOT_PATIENCE = 0.1
-"""Seconds after which a slot is given back while the heir is silent."""
+SLOT_HOLD_TIMEOUT = 0.1
+"""Seconds for which a slot stays reserved while the heir does not acknowledge
+the record."""
 
 
 @attrs.define(eq=False)
 class _Waiting:
-    """A request that is being recorded.
+    """A request whose record the heir has not acknowledged yet.
 
-    ``slot`` is a place on the own server; without one it goes to ``carrier``,
-    and without that either a place is looked for once it is recorded.
+    Parameters
+    ----------
+    run : Run
+        The request.
+    sent_at : float
+        When it was recorded, in seconds by the event loop's clock.
+    slot : Slot, optional
+        Its reserved slot on the server beside this agent.
+    carrier : str
+        The agent that runs it when there is no slot.  When this is empty too,
+        a place is chosen after the acknowledgement.
     """
 
     run: Run
-    since: float
+    sent_at: float
     slot: Slot | None = None
     carrier: str = ''
 
 
 class NonIdempotentRequests:
-    """Decides on non-idempotent requests of the buckets that are home here.
+    """Decides on non-idempotent requests of the buckets whose home is here.
 
     Parameters
     ----------
     parts : AgentParts
-        The agent.
+        State that the modules of the agent share.
     replies : Replies
         Builds and sends final answers.
-    carrier : Carrier
-        Runs at the own server.
-    assignments : Assignments
-        Runs at other agents.
-    endings : Endings
-        Ends requests.
+    executor : RequestExecutor
+        Runs requests on the server beside this agent.
+    assignments : OutgoingAssignments
+        Has other agents run requests.
+    endings : RequestEndings
+        Records and answers the outcomes of requests.
     perform : callable
-        Carries out what the keeper asks for.
+        Carries out the effects that the keeper of buckets returns.
     """
 
     def __init__(
         self,
         parts: AgentParts,
         replies: Replies,
-        carrier: RequestExecutor,
+        executor: RequestExecutor,
         assignments: OutgoingAssignments,
         endings: RequestEndings,
         perform: PerformKeeperEffects,
@@ -90,25 +102,27 @@
         self._parts = parts
         self._ledger = parts.store.ledger
         self._replies = replies
-        self._carrier = carrier
+        self._executor = executor
         self._assignments = assignments
         self._perform = perform
         self._endings = endings
-        self._elsewhere = RunsElsewhere(parts)
+        self._awaited = AwaitedOutcomes(parts)
         self._waiting_by_ticket: dict[int, _Waiting] = {}
 
     def __len__(self) -> int:
-        """Return how many requests have no outcome yet, wherever they are."""
+        """Return how many requests, here or elsewhere, have no outcome yet."""
         return len(self._waiting_by_ticket) + len(self._assignments)
 
-    def take(
+    def handle_request(
         self, packet: Packet, request: Message, bucket: int, now: float
     ) -> None:
-        """Take a request whose home this agent is."""
+        """Handle a request of a bucket of which this agent is home."""
         checksum = request_checksum(request)
         key = request_key(packet, request)
         begun = self._ledger.begin(bucket, key, checksum, now)
-        run = Run(packet, request, bucket, deadline_of(request, now), checksum)
+        run = Run(
+            packet, request, bucket, request_deadline(request, now), checksum
+        )
         match begun:
             case Fresh() if self._endings.is_ledger_complete(bucket):
                 self._parts.budget.record_request()
@@ -117,14 +131,17 @@
                 self._endings.end_unknown(run, now)
             case Full() if not self._endings.is_ledger_complete(bucket):
                 self._replies.send(packet, self._replies.unknown(request))
-            case OutcomeUnknown(b'') if self._elsewhere.wait(run, now):
+            case OutcomeUnknown(b'') if self._awaited.try_add(run, now):
                 self._parts.metrics.count('run_elsewhere')
             case _:
                 self._replay(packet, request, begun)
 
     def handle_recorded(self, ticket: int, now: float) -> bool:
-        """Run a request that home and heir hold; False if it is none."""
-        waiting = self._take_out(ticket)
+        """Run the request of a ticket, now that home and heir hold its record.
+
+        Returns False when the ticket is not that of such a request.
+        """
+        waiting = self._pop_waiting(ticket)
         if waiting is None:
             return False
         self._parts.store.release(waiting.run.identity)
@@ -134,12 +151,12 @@
     def handle_record_refused(
         self, ticket: int, reason: ResultCode, now: float
     ) -> None:
-        """End a request that must not run here."""
-        waiting = self._take_out(ticket)
+        """Handle that the record of a request was refused; it must not run."""
+        waiting = self._pop_waiting(ticket)
         if waiting is None:
             return
         if waiting.slot is not None:
-            self._carrier.release(waiting.slot, now)
+            self._executor.release(waiting.slot, now)
         run = waiting.run
         if reason is ResultCode.OUTCOME_UNKNOWN:
             self._endings.answer_from_ledger(run, now)
@@ -152,8 +169,8 @@
         else:
             self._endings.forward_to_next_home(run, now)
 
-    def outcome(self, outcome: RunOutcome, now: float) -> None:
-        """Take the outcome of a run at another agent."""
+    def handle_outcome(self, outcome: RunOutcome, now: float) -> None:
+        """Handle the outcome of a run at another agent."""
         identity = (outcome.key, outcome.checksum)
         run = self._assignments.finish(identity)
         if run is not None:
@@ -161,60 +178,62 @@
                 RunEnd(run, outcome.state, outcome.answer), now
             )
             return
-        # Of a run that an earlier home has begun: its replays find it here.
+        # An earlier home started this run; its replays are answered from
+        # the ledger here.
         self._parts.metrics.count('outcome_late')
         if self._ledger.entry(*identity) is not None:
             self._ledger.finish(*identity, outcome.state, outcome.answer, now)
-        replay = self._elsewhere.take_out(identity)
+        replay = self._awaited.pop(identity)
         if replay is not None:
             self._endings.answer_from_ledger(replay, now)
 
     def tick(self, now: float) -> None:
         """Repeat assignments; end those whose carrier does not answer."""
         given_up = self._assignments.tick(now)
-        given_up.extend(self._elsewhere.take_hopeless(now))
+        given_up.extend(self._awaited.pop_hopeless(now))
         for run in given_up:
             self._endings.end_unknown(run, now)
-        # A slot given back lets in a request that waits, which may end others.
+        # Iterates over a copy: a released slot admits a waiting request,
+        # which may end others.
         for ticket in list(self._waiting_by_ticket):
-            self._give_slot_back(ticket, now)
+            self._release_late_slot(ticket, now)
 
-    def give_up(self, now: float) -> None:
-        """End all that has no outcome: the process stops."""
+    def end_all(self, now: float) -> None:
+        """End all requests without an outcome, because the process stops."""
         for ticket in list(self._waiting_by_ticket):
-            waiting = self._take_out(ticket)
+            waiting = self._pop_waiting(ticket)
             if waiting is not None:
-                # The heir may hold its record, and may be asked for it.
+                # The heir may hold its record, and a new home may ask for that.
                 self._endings.end_unknown(waiting.run, now)
-        for run in self._assignments.take_all():
+        for run in self._assignments.pop_all():
             self._endings.end_unknown(run, now)
 
     def _place(self, run: Run, now: float) -> None:
-        slot = self._carrier.reserve(now)
+        slot = self._executor.reserve(now)
         carrier = '' if slot else self._assignments.choose_carrier(now)
         if slot or carrier:
             self._record(_Waiting(run, now, slot, carrier), now)
             return
         waiter = Waiter(
             run.deadline,
-            functools.partial(self._admitted, run),
-            functools.partial(self._not_admitted, run),
+            functools.partial(self._try_start, run),
+            functools.partial(self._end_unadmitted, run),
         )
-        if not self._carrier.queue.enter(waiter, now):
-            self._not_admitted(run, now)
+        if not self._executor.queue.enter(waiter, now):
+            self._end_unadmitted(run, now)
 
-    def _admitted(self, run: Run, now: float) -> bool:
-        slot = self._carrier.reserve(now)
+    def _try_start(self, run: Run, now: float) -> bool:
+        slot = self._executor.reserve(now)
         if slot is None:
             return False
         if self._endings.is_ledger_complete(run.bucket):
             self._record(_Waiting(run, now, slot), now)
         else:
-            self._carrier.release(slot, now)
+            self._executor.release(slot, now)
             self._endings.forward_to_next_home(run, now)
         return True
 
-    def _not_admitted(self, run: Run, now: float) -> None:
+    def _end_unadmitted(self, run: Run, now: float) -> None:
         if self._endings.is_ledger_complete(run.bucket):
             self._endings.end_unrecorded(run, ResultCode.OVERLOADED, now)
         else:
@@ -231,27 +250,27 @@
         self._waiting_by_ticket[ticket] = waiting
         self._perform(effects, now)
 
-    def _give_slot_back(self, ticket: int, now: float) -> None:
-        """Let others have a slot while a heir is silent, perhaps dead."""
+    def _release_late_slot(self, ticket: int, now: float) -> None:
+        """Release a slot whose request has waited too long for the heir."""
         waiting = self._waiting_by_ticket.get(ticket)
         if waiting is None or waiting.slot is None:
             return
-        if now - waiting.since > SLOT_PATIENCE:
+        if now - waiting.sent_at > SLOT_HOLD_TIMEOUT:
             slot = waiting.slot
             waiting.slot = None
-            self._carrier.release(slot, now)
+            self._executor.release(slot, now)
 
     def _launch(self, waiting: _Waiting, now: float) -> None:
         run = waiting.run
         slot = waiting.slot
         carrier = waiting.carrier
         if self._parts.endpoint_of_carrier(carrier) is None:
-            # None chosen, or gone while the record was under way.
+            # None was chosen, or it left while the record was on its way.
             carrier = ''
         if slot is None and not carrier:
-            slot = self._carrier.reserve(now)
+            slot = self._executor.reserve(now)
         if slot is not None:
-            self._carrier.start(run, slot, now)
+            self._executor.start(run, slot, now)
             return
         carrier = carrier or self._assignments.choose_carrier(now)
         if carrier:
@@ -263,14 +282,14 @@
             RunEnd(run, RequestState.NOT_RUN, answer), now
         )
 
-    def _take_out(self, ticket: int) -> _Waiting | None:
+    def _pop_waiting(self, ticket: int) -> _Waiting | None:
         return self._waiting_by_ticket.pop(ticket, None)
 
     def _replay(self, packet: Packet, request: Message, begun: Begun) -> None:
         self._parts.metrics.count('replayed')
         if isinstance(begun, Running):
-            # No empty ACK: the answer itself comes as one, and the caller's
-            # next copy gets it should that be lost.
+            # No empty ACK is sent: the answer is piggybacked on the ACK.  If
+            # it is lost, the caller's next retransmission gets it.
             return
         payload = told_again(request, begun)
         if payload is not None:
--- a/redwingstream/agent/assignments.py
+++ b/redwingstream/agent/outgoing_assignments.py
@@ -1,4 +1,4 @@
-"""Requests that a home has another agent run."""
+"""Requests that this agent, as home, has assigned to other agents."""
 
 import attrs
 
@@ -7,10 +7,11 @@
 from redwingstream.forwarding.messages import Assigned
 from redwingstream.requests.slots import Identity
 
-REPEAT_AFTER = 0.25
+REPEAT_INTERVAL = 0.25
 MAX_COPIES = 4
 OUTCOME_GRACE = 1.0
-"""Seconds after its deadline in which an outcome may still arrive."""
+"""Seconds after the deadline of a request in which its outcome is still
+awaited."""
 
 
 @attrs.define(eq=False)
@@ -24,18 +25,18 @@
 
 
 class OutgoingAssignments:
-    """Runs at other agents, repeated until their outcome comes.
+    """Assigns requests to other agents; repeats this until outcomes arrive.
 
     Parameters
     ----------
     parts : AgentParts
-        The agent.
+        State that the modules of the agent share.
 
     Notes
     -----
-    Repeating guards against a lost datagram, which would leave a request
-    *unknown* that was never run.  It is safe because the carrier knows what it
-    was assigned, and another run of it refuses the assignment.
+    Without repetition a lost datagram would end a request as *unknown* that
+    has never run.  Repeating is safe: the carrier knows the requests that it
+    was assigned, and a later run of that agent ignores the assignment.
     """
 
     def __init__(self, parts: AgentParts) -> None:
@@ -43,22 +44,25 @@
         self._assignment_by_identity: dict[Identity, _Assignment] = {}
 
     def __len__(self) -> int:
-        """Return how many outcomes are awaited."""
+        """Return the number of outcomes awaited."""
         return len(self._assignment_by_identity)
 
     def choose_carrier(self, now: float) -> str:
-        """Return a carrier with room, or an empty text."""
+        """Return the name of a carrier with room; empty if there is none."""
         exclude = frozenset((self._parts.identity.host,))
         return self._carrier_at(self._parts.loads.choose(exclude, now))
 
     def choose_carrier_for_open_feed(self, now: float) -> str:
-        """Return a carrier for a feed that goes on, with or without room."""
+        """Return the name of a carrier for an established feed, room or not.
+
+        Empty if there is none.
+        """
         exclude = frozenset((self._parts.identity.host,))
         loads = self._parts.loads
         return self._carrier_at(loads.choose_for_open_feed(exclude, now))
 
     def start(self, run: Run, carrier: str, now: float) -> None:
-        """Have a carrier run a request."""
+        """Assign a request to a carrier."""
         endpoint = self._parts.endpoint_of_carrier(carrier)
         incarnation = int(carrier.rpartition('#')[2])
         message = Assigned(
@@ -73,36 +77,36 @@
         self._send(assignment, now)
 
     def finish(self, identity: Identity) -> Run | None:
-        """Take out a request whose outcome has come."""
+        """Remove and return a request whose outcome has arrived."""
         assignment = self._assignment_by_identity.pop(identity, None)
         return None if assignment is None else assignment.run
 
-    def take_all(self) -> list[Run]:
-        """Take out all requests: nobody will wait for them any more."""
+    def pop_all(self) -> list[Run]:
+        """Remove and return all requests; their outcomes are not awaited."""
         assignments = list(self._assignment_by_identity.values())
         self._assignment_by_identity.clear()
         return [assignment.run for assignment in assignments]
 
     def tick(self, now: float) -> list[Run]:
-        """Repeat what is due; take out what no outcome is expected of.
+        """Repeat assignments that are due; remove and return hopeless requests.
 
-        That is what is past its deadline, and what a run of an agent had that
-        control has removed.
+        No outcome is expected of a request that is past its deadline, nor of
+        one whose carrier the control instances have removed.
         """
-        late = []
+        hopeless = []
         for identity, assignment in list(self._assignment_by_identity.items()):
             if self._is_hopeless(assignment, now):
                 self._assignment_by_identity.pop(identity)
-                late.append(assignment.run)
+                hopeless.append(assignment.run)
             elif self._is_due(assignment, now):
                 self._repeat(assignment, now)
-        return late
+        return hopeless
 
     def _repeat(self, assignment: _Assignment, now: float) -> None:
-        """Send an assignment again, within the budget for repeats.
+        """Send an assignment again, within the retry budget.
 
-        Without the budget agents that answer late for want of time would be
-        sent each request four times, and answer later still.
+        Without the budget, agents that answer late because of overload would
+        get each request four times and answer later still.
         """
         assignment.copies += 1
         if self._parts.budget.try_retry():
@@ -124,7 +128,7 @@
 
     def _is_due(self, assignment: _Assignment, now: float) -> bool:
         is_spent = assignment.copies >= MAX_COPIES
-        return not is_spent and now - assignment.sent_at >= REPEAT_AFTER
+        return not is_spent and now - assignment.sent_at >= REPEAT_INTERVAL
 
     def _send(self, assignment: _Assignment, now: float) -> None:
         assignment.sent_at = now
--- a/redwingstream/agent/outputs.py
+++ b/redwingstream/agent/outputs.py
@@ -1,19 +1,19 @@
-"""What the decision logic of an agent can do to the outside."""
+"""Interface by which the decisions of an agent reach sockets and processes."""
 
 from typing import Protocol
 
 
 class Outputs(Protocol):
-    """Carried out by the role with sockets, by tests with lists."""
+    """Output side of an agent; implemented by the role and by test doubles."""
 
     def to_peer(self, endpoint: str, payload: object) -> None:
-        """Send a frame to another process (``IP:PORT``)."""
+        """Send a message to another process, at ``IP:PORT``."""
 
     def to_server(self, packet: bytes, source: int) -> None:
-        """Send a CoAP packet to the backend server from one of the sockets."""
+        """Send a CoAP packet to the backend server from the numbered socket."""
 
     def replace_source(self, source: int) -> None:
-        """Close a socket to the server that is silent, and open another."""
+        """Replace the numbered socket, on which the server does not answer."""
 
     def fetch_if_newer(self, revision: int, endpoint: str) -> None:
-        """Fetch newer tables from a process that has them."""
+        """Fetch the tables of a process whose revision is newer than here."""
--- a/redwingstream/agent/parts.py
+++ b/redwingstream/agent/parts.py
@@ -1,9 +1,9 @@
-"""The decision objects of one agent, put together."""
+"""State that the modules of one agent share, and questions about it."""
 
 import attrs
 
 from redwingstream.admission.choice import PeerLoads
-from redwingstream.admission.come_back import RetryDelays, OverloadGauge
+from redwingstream.admission.come_back import OverloadGauge, RetryDelays
 from redwingstream.admission.feeds import FeedLimit
 from redwingstream.admission.limit import ConcurrencyLimit
 from redwingstream.admission.retry_budget import RetryBudget
@@ -22,29 +22,30 @@
 from redwingstream.tables.snapshot import Tables
 
 REPLAY_HORIZON = 247.0
-"""Seconds in which a caller may repeat a message (RFC 7252, section 4.8.2)."""
+"""Seconds in which a caller may repeat a message: EXCHANGE_LIFETIME of
+RFC 7252, section 4.8.2."""
 
 
 @attrs.frozen
 class AgentIdentity:
-    """Who this agent is.
+    """Names, address and place of one run of an agent.
 
     Parameters
     ----------
     host : str
-        Name of its host.
+        Name of the instance that it runs on.
     incarnation : int
-        Which run of it, as admitted.
+        Number of this run, assigned at its admission.
     endpoint : str
-        ``IP:PORT`` of it.
+        ``IP:PORT`` of the agent.
     zone : str
         Its availability zone.
     pool : str
-        Pool that its server serves.
+        Pool of its backend server.
     buckets : int
-        How many buckets the pool has.
+        Number of buckets of the pool.
     key : bytes
-        Key of the bucket hash.
+        Key of the hash that maps flows to buckets.
     """
 
     host: str
@@ -57,20 +58,20 @@
 
     @property
     def carrier(self) -> str:
-        """How flow records name this run of the agent."""
+        """Name of this run in flow records."""
         return carrier_name(self.host, self.incarnation)
 
 
 @attrs.frozen
 class ServerCapacity:
-    """What the backend server can bear at the most.
+    """Capacity of the backend server.
 
     Parameters
     ----------
     slots : int
-        Requests at once.
+        Maximum number of concurrent requests.
     connections : int
-        Feeds at once.
+        Maximum number of concurrent feeds.
     """
 
     slots: int
@@ -79,24 +80,52 @@
 
 @attrs.define(eq=False)
 class AgentParts:
-    """State that the modules of an agent share; each part has one owner.
+    """State that the modules of an agent share.
 
     Parameters
     ----------
-    me : AgentIdentity
-        Who this agent is.
+    identity : AgentIdentity
+        This run of the agent.
     out : Outputs
-        What it can do.
+        Sends messages and packets.
     metrics : Metrics
-        What it counts.
+        Counters of the process.
     store : AgentStore
         Ledger, flows and transfers by bucket.
     keeper : BucketKeeper
-        Which buckets are here, and under which fence.
+        Decides which buckets are in effect here, and under which fence.
     upstream : Upstream
-        The server's side.
+        CoAP exchanges with the backend server.
     feeds : FeedCarrier
-        The callers' side of the feeds carried here.
+        Feeds carried here, towards their callers.
+    paths : ReturnPaths
+        Balancers through which callers can be reached.
+    limit : ConcurrencyLimit
+        Admission of requests to the server.
+    feed_limit : FeedLimit
+        Admission of feeds to the server.
+    loads : PeerLoads
+        Load that the other agents of the pool report.
+    come_back : RetryDelays
+        Chooses after how many seconds a refused caller is to retry.
+    gauge : OverloadGauge
+        Recent number of refused requests for each one served.
+    budget : RetryBudget
+        Limits repeated assignments.
+    links : PeerLinks
+        Which processes answer what is sent to them.
+    tables : Tables
+        The newest tables known here.
+    routing : Routing
+        Routes of these tables, for look-ups.
+    pair_table : PairTable, optional
+        Home and heir of each bucket in the newest view.
+    former_pair_table : PairTable, optional
+        The same in the view before that.
+    is_leaving : bool
+        Whether the agent refuses new work.
+    server_is_silent : bool
+        Whether the server does not answer.
     """
 
     identity: AgentIdentity
@@ -116,22 +145,22 @@
     links: PeerLinks = attrs.field(factory=PeerLinks)
     tables: Tables = attrs.field(factory=Tables)
     routing: Routing = attrs.field(factory=lambda: Routing({}))
-    pairs: PairTable | None = None
-    former_pairs: PairTable | None = None
+    pair_table: PairTable | None = None
+    former_pair_table: PairTable | None = None
     is_leaving: bool = False
     server_is_silent: bool = False
 
     def apply_tables(self, tables: Tables, now: float) -> None:
-        """Go by newer tables from now on."""
+        """Apply newer tables."""
         if tables.route_by_key != self.tables.route_by_key:
             self.routing = Routing(tables.route_by_key)
         view = tables.view_by_pool.get(self.identity.pool)
         former = self.tables.view_by_pool.get(self.identity.pool)
         if view is None or former is None or view.number != former.number:
-            self.former_pairs = self.pairs
-            self.pairs = None if view is None else PairTable.of_view(view)
+            self.former_pair_table = self.pair_table
+            self.pair_table = None if view is None else PairTable.of_view(view)
         self.tables = tables
-        self._follow_balancers(now)
+        self._apply_balancers(now)
 
     def bucket_of(self, caller: str, service: str) -> int:
         """Return the bucket of a flow in this agent's pool."""
@@ -141,17 +170,28 @@
 
     def home_of(self, bucket: int) -> ViewMember | None:
         """Return the home of a bucket in the newest view known here."""
-        return None if self.pairs is None else self.pairs.pair(bucket).home
+        return (
+            None
+            if self.pair_table is None
+            else self.pair_table.pair(bucket).home
+        )
 
     def heir_of(self, bucket: int) -> ViewMember | None:
         """Return the heir of a bucket in the newest view known here."""
-        return None if self.pairs is None else self.pairs.pair(bucket).heir
+        return (
+            None
+            if self.pair_table is None
+            else self.pair_table.pair(bucket).heir
+        )
 
     def former_home_of(self, bucket: int) -> str:
-        """Return the run that was home of a bucket before; empty if none."""
-        if self.former_pairs is None:
+        """Return the carrier name of a bucket's home in the view before.
+
+        Empty if there was none or if it was this agent.
+        """
+        if self.former_pair_table is None:
             return ''
-        home = self.former_pairs.pair(bucket).home
+        home = self.former_pair_table.pair(bucket).home
         if home is None or self.is_this_agent(home):
             return ''
         return carrier_name(home.host, home.incarnation)
@@ -166,25 +206,25 @@
         )
 
     def is_zone_out(self) -> bool:
-        """Whether the zone of this agent is out of service."""
+        """Whether the zone of this agent is taken out of service."""
         return self.tables.is_zone_out(self.identity.zone)
 
     def is_carrier_in_zone_out(self, carrier: str) -> bool:
-        """Whether a carrier stands in a zone that is out of service."""
+        """Whether a carrier is in a zone that is taken out of service."""
         member = self.tables.member_by_host.get(carrier.rpartition('#')[0])
         return member is not None and self.tables.is_zone_out(member.zone)
 
-    def is_former_run(self) -> bool:
-        """Whether control has removed this run of the agent."""
+    def is_removed(self) -> bool:
+        """Whether the control instances have removed this run of the agent."""
         member = self.tables.member_by_host.get(self.identity.host)
         return member is None or member.incarnation != self.identity.incarnation
 
     def is_carrier_silent(self, carrier: str, now: float) -> bool:
-        """Whether a carrier is gone, or has not reacted for a second.
+        """Whether a carrier is removed, or has not answered for a second.
 
-        Guards against a carrier that has died without a word: it stays in the
-        tables until its lease ends, and for ever while control is gone too.
-        It shows as frames to it that nothing follows.
+        A carrier that has crashed stays in the tables until its lease ends,
+        and indefinitely while no control instance is reachable.  It is
+        detected by messages to it that get no answer.
         """
         endpoint = self.endpoint_of_carrier(carrier)
         if endpoint is None:
@@ -192,16 +232,16 @@
         return self.links.is_silent(parse_endpoint(endpoint), now)
 
     def endpoint_of_carrier(self, carrier: str) -> str | None:
-        """Return where a carrier is reached; None when that run is gone."""
+        """Return ``IP:PORT`` of a carrier; None if that run is not a member."""
         host, _, incarnation = carrier.rpartition('#')
         member = self.tables.member_by_host.get(host)
         if member is None or str(member.incarnation) != incarnation:
             return None
         return member.endpoint
 
-    def _follow_balancers(self, now: float) -> None:
-        # When all balancers are replaced while callers send nothing, none of
-        # the new ones has been heard from: feeds would have no way back.
+    def _apply_balancers(self, now: float) -> None:
+        # If all balancers are replaced while callers send nothing, no packet
+        # shows the new ones, and feeds would have no return path.
         balancers = [
             member.endpoint
             for member in self.tables.member_by_host.values()
@@ -212,9 +252,9 @@
 
 
 def carrier_name(host: str, incarnation: int) -> str:
-    """Return how flow records name a run of an agent.
+    """Return the name of an agent's run in flow records.
 
-    A host name alone would let a restarted agent, which remembers nothing,
-    pass for the one that carried the flow.
+    With the host name alone, a restarted agent, which has lost its state,
+    would be taken for the run that carried the flow.
     """
     return f'{host}#{incarnation}'
--- a/redwingstream/agent/replies.py
+++ b/redwingstream/agent/replies.py
@@ -1,4 +1,4 @@
-"""What an agent tells callers: answers, refusals, unknown outcomes."""
+"""Builds and sends callers their responses, refusals, unknown outcomes."""
 
 from aiocoap.message import Message
 
@@ -9,19 +9,19 @@
 
 
 class Replies:
-    """Sends callers what became of their requests, through balancers.
+    """Sends callers the outcomes of their requests, through balancers.
 
     Parameters
     ----------
     parts : AgentParts
-        The agent.
+        State that the modules of the agent share.
     """
 
     def __init__(self, parts: AgentParts) -> None:
         self._parts = parts
 
     def send(self, packet: Packet, payload: bytes) -> None:
-        """Answer through the balancer that handed the packet in."""
+        """Send a packet to a caller through the balancer of its request."""
         self.send_through(
             packet.balancer, packet.caller, packet.service, payload
         )
@@ -29,7 +29,19 @@
     def send_through(
         self, balancer: str, caller: str, service: str, payload: bytes
     ) -> None:
-        """Hand a packet for a caller to a balancer."""
+        """Send a packet for a caller to a balancer.
+
+        Parameters
+        ----------
+        balancer : str
+            ``IP:PORT`` of the balancer.
+        caller : str
+            ``IP:PORT`` of the caller.
+        service : str
+            ``IP:PORT`` that the caller has sent its request to.
+        payload : bytes
+            The encoded CoAP message.
+        """
         revision = self._parts.tables.revision
         answer = Answer(revision, caller, service, payload)
         self._parts.out.to_peer(balancer, answer)
@@ -37,7 +49,7 @@
     def not_run(
         self, request: Message, reason: ResultCode, now: float
     ) -> bytes:
-        """Return the packet that refuses a request, with when to come back."""
+        """Return the packet that refuses a request and says when to retry."""
         self._parts.metrics.count(f'refused_{reason.name.lower()}')
         self._parts.gauge.record_refused(now)
         overload = self._parts.gauge.overload(now)
@@ -52,5 +64,5 @@
     def refuse(
         self, packet: Packet, request: Message, reason: ResultCode, now: float
     ) -> None:
-        """Refuse a request at once."""
+        """Send the refusal of a request to its caller."""
         self.send(packet, self.not_run(request, reason, now))
--- a/redwingstream/agent/carrier.py
+++ b/redwingstream/agent/request_executor.py
@@ -1,4 +1,4 @@
-"""Runs requests on the server beside this agent."""
+"""Runs requests on the server beside this agent, within its limit."""
 
 import itertools
 from collections.abc import Callable, Hashable
@@ -10,7 +10,7 @@
 from redwingstream.agent.effects import PerformServerEffects
 from redwingstream.agent.parts import AgentParts
 from redwingstream.agent.replies import Replies
-from redwingstream.agent.runs import Run, RunEnd, answer_with
+from redwingstream.agent.runs import Run, RunEnd, readdress_response
 from redwingstream.agent.wait_queue import WaitQueue
 from redwingstream.errors import ResultCode
 from redwingstream.flows.records import FlowKey
@@ -22,12 +22,12 @@
 
 @attrs.frozen
 class Slot:
-    """A place on the server that admission has given out.
+    """A unit of the server's concurrency limit, reserved for one request.
 
     Parameters
     ----------
     taken_at : float
-        When, in seconds of the loop's clock.
+        When it was reserved, in seconds by the event loop's clock.
     """
 
     taken_at: float
@@ -41,24 +41,24 @@
 
 
 class RequestExecutor:
-    """The requests that this agent's server is running.
+    """Runs requests on the server and keeps track of them until they end.
 
     Parameters
     ----------
     parts : AgentParts
-        The agent.
+        State that the modules of the agent share.
     replies : Replies
         Builds final answers.
     on_end : callable
-        Takes each :class:`RunEnd` and the time.
+        Called with each :class:`RunEnd` and the current time.
     perform : callable
-        Carries out what the server's side asks for; see
-        :class:`~redwingstream.agent.server_side.ServerSide`.
+        Carries out the effects of the link to the server; see
+        :class:`~redwingstream.agent.server_effects.ServerEffectHandler`.
 
     Attributes
     ----------
     queue : WaitQueue
-        Requests that wait a moment for a place.
+        Requests that wait a short time for a slot.
     """
 
     def __init__(
@@ -75,39 +75,41 @@
         self._on_end = on_end
         self._serial = itertools.count(1)
         self._started_by_owner: dict[Hashable, _Started] = {}
-        self._trial_at = float()
+        self._last_trial_at = float()
 
     def __len__(self) -> int:
-        """Return how many requests are running."""
+        """Return the number of requests that are running."""
         return len(self._started_by_owner)
 
-    def reserve(self, now: float, *, goes_on: bool = False) -> Slot | None:
-        """Take a place on the server, if it can bear one more request.
+    def reserve(
+        self, now: float, *, is_continuation: bool = False
+    ) -> Slot | None:
+        """Reserve a slot on the server; None if it has no room.
 
         Parameters
         ----------
         now : float
-            Seconds.
-        goes_on : bool
-            True for a later block of an answer: a server that leaves finishes
-            what it has begun.
+            Current time in seconds, by the event loop's clock.
+        is_continuation : bool
+            Whether the request is for a later block of an answer: an agent
+            that leaves still finishes such transfers.
         """
-        if self._parts.is_leaving and not goes_on:
+        if self._parts.is_leaving and not is_continuation:
             return None
-        if not self._takes_work(now) or not self._parts.limit.try_start(now):
+        if not self._accepts_work(now) or not self._parts.limit.try_start(now):
             return None
         self._parts.gauge.record_served(now)
         return Slot(now)
 
     def release(self, slot: Slot, now: float) -> None:
-        """Give a place back that was not used."""
+        """Release a slot that was not used."""
         self._parts.limit.record_finished(
             now - slot.taken_at, RunResult.CANCELLED, now
         )
         self.queue.admit_waiting(now)
 
     def start(self, run: Run, slot: Slot, now: float) -> None:
-        """Hand a request to the server in a place that was reserved."""
+        """Send a request to the server, in a slot reserved for it."""
         owner = next(self._serial)
         number, effects = self._parts.upstream.send_request(
             run.request, owner, now, run.deadline
@@ -124,17 +126,17 @@
         self._perform(effects, now)
 
     def tick(self, now: float) -> None:
-        """Admit who waits, or refuse those who have waited long enough."""
+        """Admit waiting requests to free slots; refuse expired ones."""
         parts = self._parts
         if parts.is_leaving or parts.is_zone_out() or parts.server_is_silent:
-            self.queue.clear(now)
+            self.queue.refuse_all(now)
         self._learn_latency(now)
         self.queue.admit_waiting(now)
         self.queue.refuse_expired(now)
 
     def cancel_all(self, now: float) -> None:
-        """Give up all that runs: cancelled at the server, told truthfully."""
-        self.queue.clear(now)
+        """Refuse all waiting requests; cancel running ones at the server."""
+        self.queue.refuse_all(now)
         for started in list(self._started_by_owner.values()):
             effects = self._parts.upstream.cancel(started.exchange, now)
             self._perform(effects, now)
@@ -142,13 +144,13 @@
     def handle_response(
         self, owner: Hashable, response: Message, now: float
     ) -> None:
-        """Take the server's answer."""
+        """Handle the server's response to a request."""
         started = self._started_by_owner.pop(owner, None)
         if started is None:
             return
         self._parts.server_is_silent = False
         run = started.run
-        answer = answer_with(run.request, response)
+        answer = readdress_response(run.request, response)
         if response.code is coap.SERVICE_UNAVAILABLE:
             self._finish(started, RunResult.REFUSED, now)
             self._on_end(RunEnd(run, RequestState.NOT_RUN, answer), now)
@@ -163,7 +165,7 @@
     def handle_failure(
         self, owner: Hashable, state: RequestState, why: ResultCode, now: float
     ) -> None:
-        """Take the end of a run without an answer."""
+        """Handle that a request has ended without a response."""
         started = self._started_by_owner.pop(owner, None)
         if started is None:
             return
@@ -181,7 +183,7 @@
         self._on_end(RunEnd(started.run, RequestState.UNKNOWN, answer), now)
 
     def _learn_latency(self, now: float) -> None:
-        """Take from the peers how long requests take, until it is measured."""
+        """Use the latency that peers report until one is measured here."""
         limit = self._parts.limit
         if limit.expected_latency is not None:
             return
@@ -189,15 +191,15 @@
         if latency is not None:
             limit.set_expected_latency(latency)
 
-    def _takes_work(self, now: float) -> bool:
+    def _accepts_work(self, now: float) -> bool:
         if self._parts.is_zone_out():
             return False
         if not self._parts.server_is_silent:
             return True
-        # One request at a time finds out whether the server is back.
-        if now - self._trial_at < _TRIAL_INTERVAL:
+        # One trial request per interval shows whether the server is back.
+        if now - self._last_trial_at < _TRIAL_INTERVAL:
             return False
-        self._trial_at = now
+        self._last_trial_at = now
         return True
 
     def _finish(
--- a/redwingstream/agent/role.py
+++ b/redwingstream/agent/role.py
@@ -7,7 +7,7 @@
 
 from absl import logging
 
-from redwingstream.agent.inbox import AGENT_MESSAGES, AgentMessage
+from redwingstream.agent.message_types import AGENT_MESSAGES, AgentMessage
 from redwingstream.agent.parts import ServerCapacity
 from redwingstream.agent.runner import AgentRunner, AgentSetup
 from redwingstream.agent.server_sockets import (
--- a/redwingstream/agent/runner.py
+++ b/redwingstream/agent/runner.py
@@ -6,7 +6,7 @@
 import attrs
 
 from redwingstream.agent.core import AgentCore
-from redwingstream.agent.inbox import AgentMessage
+from redwingstream.agent.message_types import AgentMessage
 from redwingstream.agent.making import make_parts
 from redwingstream.agent.outputs import Outputs
 from redwingstream.agent.parts import AgentIdentity, ServerCapacity
--- a/redwingstream/agent/runs.py
+++ b/redwingstream/agent/runs.py
@@ -1,4 +1,4 @@
-"""A caller's request while a server is, or may be, running it."""
+"""A caller's request from its arrival to its outcome."""
 
 import attrs
 from aiocoap.message import Message
@@ -8,13 +8,14 @@
 from redwingstream.requests.slots import Identity
 from redwingstream.wire import coap
 
-DEFAULT_DEADLINE = 20.0
-"""Seconds that a request may take whose caller names no deadline."""
+MAX_REQUEST_SECONDS = 20.0
+"""Maximum seconds until the answer to a request, also when the caller sets no
+deadline or a later one."""
 
 
 @attrs.frozen(eq=False)
 class Run:
-    """A request on its way to an outcome.
+    """A request that runs, or is about to run, on a server.
 
     Parameters
     ----------
@@ -25,12 +26,13 @@
     bucket : int
         Bucket of the flow.
     deadline : float
-        When its answer is of no use any more, in seconds of the loop's clock.
+        When the caller stops waiting for the answer, in seconds by the event
+        loop's clock.
     checksum : bytes
-        Of a non-idempotent request; empty for any other.
+        Checksum of a non-idempotent request; empty for any other.
     home : str
-        ``IP:PORT`` of the home that waits for the outcome; empty when this
-        agent answers the caller itself.
+        ``IP:PORT`` of the home that assigned the request and awaits its
+        outcome; empty when this agent answers the caller itself.
     """
 
     packet: Packet
@@ -42,12 +44,16 @@
 
     @property
     def key(self) -> RequestKey:
-        """What names the request in a ledger."""
+        """Key of the request in a ledger."""
         return request_key(self.packet, self.request)
 
     @property
     def identity(self) -> Identity:
-        """What names it when its key was used for another one before."""
+        """Key and checksum.
+
+        The checksum tells the request from an earlier one whose message id
+        and token the caller has reused.
+        """
         return (self.key, self.checksum)
 
 
@@ -58,11 +64,11 @@
     Parameters
     ----------
     run : Run
-        Which.
+        The request.
     state : RequestState
         ``ANSWERED``, ``NOT_RUN`` or ``UNKNOWN``.
     answer : bytes
-        The packet for the caller.
+        The encoded CoAP message for the caller.
     """
 
     run: Run
@@ -70,26 +76,30 @@
     answer: bytes
 
     def as_outcome(self) -> RunOutcome:
-        """Return it as it travels."""
+        """Return the message that reports this end to the home."""
         run = self.run
         return RunOutcome(run.key, self.state, self.answer, run.checksum)
 
 
 def request_key(packet: Packet, request: Message) -> RequestKey:
-    """Return what names a request."""
+    """Return the key of a request in a ledger."""
     return RequestKey(packet.caller, packet.service, request.mid, request.token)
 
 
-def deadline_of(request: Message, now: float) -> float:
-    """Return when the answer to a request is of no use any more."""
+def request_deadline(request: Message, now: float) -> float:
+    """Return when the caller of a request stops waiting for the answer.
+
+    In seconds by the event loop's clock; never later than
+    :data:`MAX_REQUEST_SECONDS` from now.
+    """
     remaining = coap.deadline_of(request)
     if remaining is None:
-        return now + DEFAULT_DEADLINE
-    return now + min(remaining, DEFAULT_DEADLINE)
+        return now + MAX_REQUEST_SECONDS
+    return now + min(remaining, MAX_REQUEST_SECONDS)
 
 
-def answer_with(request: Message, response: Message) -> bytes:
-    """Return a server's response as the caller's request expects it."""
+def readdress_response(request: Message, response: Message) -> bytes:
+    """Encode a server's response with token and message id of the request."""
     reply = coap.reply_to(request, response.code)
     readdressed = response.copy(
         token=request.token, mid=reply.mid, mtype=reply.mtype
--- a/redwingstream/agent/server_effects.py
+++ b/redwingstream/agent/server_effects.py
@@ -1,6 +1,6 @@
 """Carries out what the server's side of an agent asks for."""
 
-from redwingstream.agent.carrier import RequestExecutor
+from redwingstream.agent.request_executor import RequestExecutor
 from redwingstream.agent.feeds import FeedRelay
 from redwingstream.agent.parts import AgentParts
 from redwingstream.flows.effects import (
--- a/redwingstream/agent/store.py
+++ b/redwingstream/agent/store.py
@@ -1,4 +1,4 @@
-"""Ledger, flows and transfers of an agent, bucket by bucket."""
+"""Ledger, flows and transfers of an agent, stored by bucket."""
 
 from redwingstream.flows.blocks import Transfers
 from redwingstream.flows.table import FlowTable
@@ -9,12 +9,12 @@
 LEDGER_CAPACITY = 65536
 FLOW_CAPACITY = 65536
 TRANSFER_CAPACITY = 8192
-PLACEMENT_IDLE = 300.0
-"""Seconds after which a placement elsewhere that is not used is forgotten."""
+PLACEMENT_IDLE_TIMEOUT = 300.0
+"""Seconds after which an unused placement at another agent is evicted."""
 
 
 class AgentStore:
-    """What must not be lost when a bucket moves.
+    """Contents of buckets, which move with them to other agents.
 
     It is the :class:`~redwingstream.placement.fence.BucketStore` of the agent's
     keeper.
@@ -22,43 +22,44 @@
     Parameters
     ----------
     carrier : str
-        How flow records name this agent.
+        Name of this agent's run in flow records.
     replay_horizon : float
         Seconds for which the ledger keeps an entry.
 
     Attributes
     ----------
     now : float
-        Time of the event in hand; the core sets it before it hands an event
-        to the keeper, which calls the store without a time.
+        Time of the current event in seconds, by the event loop's clock.  The
+        core sets it before each event, because the keeper calls the store
+        without a time.
 
     Notes
     -----
-    A request that waits for its record is withheld from what the keeper gives
-    away.  Once the keeper has given a bucket, it accepts no acknowledgement
-    for it, so such a request can not take effect here any more; its next home
-    may run it, and would answer *unknown* if it heard of it.  What the heir is
-    given loses nothing either: the record itself follows.
+    A request whose record is not acknowledged yet is withheld from exported
+    buckets.  After the keeper has exported a bucket to a new home, it accepts
+    no acknowledgement for it, so the request cannot run here any more.  The
+    new home may run it; with the entry it would answer *unknown* instead.
+    An export to the heir misses nothing either: the record itself follows.
     """
 
     def __init__(self, carrier: str, replay_horizon: float) -> None:
         self.now = float()
         self.ledger = Ledger(LEDGER_CAPACITY, replay_horizon)
-        self.flows = FlowTable(FLOW_CAPACITY, PLACEMENT_IDLE)
+        self.flows = FlowTable(FLOW_CAPACITY, PLACEMENT_IDLE_TIMEOUT)
         self.transfers = Transfers(carrier, TRANSFER_CAPACITY)
         self._horizon = replay_horizon
         self._withheld_at: dict[Identity, float] = {}
 
     def withhold(self, identity: Identity) -> None:
-        """Keep a request to this agent, until it is released."""
+        """Exclude a request from exported buckets until it is released."""
         self._withheld_at[identity] = self.now
 
     def release(self, identity: Identity) -> None:
-        """Let a request travel with its bucket again."""
+        """Include a request in exported buckets again."""
         self._withheld_at.pop(identity, None)
 
     def export(self, bucket: int) -> BucketContents:
-        """Return all that is remembered of a bucket."""
+        """Return the contents of a bucket, except withheld requests."""
         placements = self.transfers.placements(bucket, self.now)
         entries = self.ledger.export(bucket, self.now)
         return BucketContents(
@@ -72,18 +73,18 @@
         )
 
     def merge(self, bucket: int, contents: BucketContents) -> None:
-        """Add contents to those that are there."""
+        """Merge received contents into a bucket."""
         self.ledger.merge(bucket, contents.entries, self.now)
         self.ledger.condensed.merge(bucket, contents.condensed, self.now)
         self.flows.merge(bucket, contents.flows, self.now)
 
     def drop(self, bucket: int) -> None:
-        """Forget all contents of a bucket."""
+        """Drop the contents of a bucket."""
         self.ledger.drop(bucket)
         self.flows.drop(bucket)
 
-    def expire(self, now: float) -> None:
-        """Forget what is too old to matter."""
+    def evict_expired(self, now: float) -> None:
+        """Evict expired entries; release requests withheld for too long."""
         self.now = now
         self.ledger.expire(now)
         self.flows.expire(now)
--- a/redwingstream/agent/tests/exchange.py
+++ b/redwingstream/agent/tests/exchange.py
@@ -1,6 +1,7 @@
-"""Passes frames between fake processes: late, twice, or never.
+"""In-memory network and clock of the fake processes.
 
-Time is a number that :meth:`Exchange.run` advances.
+Delivers frames late, twice or never, as a test asks.  :meth:`Exchange.run`
+advances the clock.
 """
 
 import functools
@@ -12,35 +13,36 @@
 import attrs
 
 TICK = 0.05
-TRAVEL = 0.002
-"""Seconds that a frame takes from one process to another."""
+TRAVEL_SECONDS = 0.002
+"""Network delay of a frame in seconds."""
 
 
 @attrs.frozen
 class Frame:
-    """A message on its way from one process to another."""
+    """A message in transit from one process to another."""
 
     source: str
     target: str
     payload: object
 
 
-# Time, a number that keeps the order of equal times, and what to do.
+# Time, a serial number that orders equal times, and the action to run.
 _Event = tuple[float, int, Callable[[], None]]
 
 
 class Process(Protocol):
-    """What stands at an address."""
+    """A process at an address of the network."""
 
     def receive(self, frame: Frame, now: float) -> None:
-        """Take a frame."""
+        """Handle a frame."""
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run periodic work."""
 
 
 Inspect = Callable[[Frame], 'tuple[float, ...] | None']
-"""Returns how long each copy of a frame is delayed; None for no opinion."""
+"""Returns the delay of each copy of a frame in seconds; an empty tuple drops
+the frame, None delivers it as usual."""
 
 
 class Exchange:
@@ -49,15 +51,15 @@
     Attributes
     ----------
     now : float
-        Seconds.
+        Current time in seconds.
     process_by_address : dict
-        The living processes.
+        The running processes.
     frozen : set of str
-        Addresses whose processes stand still; their frames wait.
+        Addresses of suspended processes; frames to them are kept.
     cuts : set of tuple
         Pairs of source and target between which every frame is lost.
     inspect : callable
-        Looks at each frame before it is sent.
+        Called with each frame before it is sent; see :data:`Inspect`.
     """
 
     def __init__(self) -> None:
@@ -72,22 +74,22 @@
         self._tick_at = float()
 
     def call_later(self, delay: float, action: Callable[[], None]) -> None:
-        """Run something later."""
+        """Run an action after a delay in seconds."""
         event = (self.now + delay, next(self._serial), action)
         heapq.heappush(self._events, event)
 
     def send(self, source: str, target: str, payload: object) -> None:
-        """Send a frame, as the faults of the moment allow."""
+        """Send a frame, subject to the faults that are active."""
         frame = Frame(source, target, payload)
         delays = None if self.inspect is None else self.inspect(frame)
         if (source, target) in self.cuts:
             return
         deliver = functools.partial(self._deliver, frame)
         for delay in (0,) if delays is None else delays:
-            self.call_later(TRAVEL + delay, deliver)
+            self.call_later(TRAVEL_SECONDS + delay, deliver)
 
     def thaw(self, address: str) -> None:
-        """Let a process run again; it finds the frames that have waited."""
+        """Resume a suspended process and deliver the frames kept for it."""
         self.frozen.discard(address)
         waiting = self._waiting.copy()
         self._waiting.clear()
@@ -95,7 +97,7 @@
             self._deliver(frame)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and run all events that become due."""
         end = self.now + seconds
         while True:
             due = self._events[0][0] if self._events else end
--- a/redwingstream/agent/tests/pool.py
+++ b/redwingstream/agent/tests/pool.py
@@ -1,7 +1,7 @@
-"""One pool in one process: agents, balancers, control and callers, faked.
+"""A pool simulated in one process, with an in-memory network and clock.
 
-Only agents and the balancers' decisions are the real ones.  There is no
-cluster here: no sockets, no consensus, no clock.
+The decisions of agents and balancers are the real code.  Callers, backend
+servers and control instances are fakes; there are no sockets and no consensus.
 """
 
 import itertools
@@ -48,15 +48,15 @@
 CONNECTIONS = 2000
 BUCKETS = 16
 LEASE = 3.0
-LEAVING_HEARD = 0.6
-"""Seconds after which control hears that an agent leaves."""
+LEAVE_NOTICE_DELAY = 0.6
+"""Seconds until the control instances learn that an agent leaves."""
 
-BEAT_INTERVAL = 0.5
+HEARTBEAT_INTERVAL = 0.5
 ZONES = ('godoy-cruz', 'lujan', 'maipu')
 
 
 @attrs.frozen
-class Beat:
+class Heartbeat:
     """A fake heartbeat."""
 
     host: str
@@ -67,18 +67,18 @@
 
 @attrs.frozen
 class Admitted:
-    """Control tells a process its incarnation."""
+    """Control's message that tells a process its incarnation."""
 
     incarnation: int
 
 
 @attrs.frozen
 class Fetch:
-    """A process asks another one for its tables."""
+    """Request for the tables of another process."""
 
 
 class Agent:
-    """An agent process beside its fake server; the outputs of its core."""
+    """An agent process; implements the outputs of its core."""
 
     def __init__(
         self, pool: 'FakePool', host: str, boot: int, server: str
@@ -101,57 +101,59 @@
         self._exchange = pool.exchange
         self._server = server
         self._incarnation = 0
-        self._beat_at = float()
+        self._heartbeat_at = float()
 
     @property
     def core(self) -> AgentCore:
-        """The core of the present run."""
+        """The core of the current run."""
         return self.runner.core
 
     def receive(self, frame: Frame, now: float) -> None:
-        """Take a frame."""
+        """Handle a frame."""
         match frame.payload:
             case Tables(revision=revision):
                 if revision > self.tables.revision:
                     self.tables = frame.payload
-                    self._adopt(now)
+                    self._apply(now)
             case Admitted(incarnation):
                 self._incarnation = incarnation
-                self._adopt(now)
+                self._apply(now)
             case Fetch():
                 self.to_peer(frame.source, self.tables)
             case Probe(revision):
                 self.to_peer(frame.source, ProbeAck(self.tables.revision))
                 self.fetch_if_newer(revision, frame.source)
             case _:
-                self._take(frame, now)
+                self._handle(frame, now)
 
     def tick(self, now: float) -> None:
-        """Beat, and do what is due."""
-        if now >= self._beat_at:
-            self._beat_at = now + BEAT_INTERVAL
+        """Send a heartbeat if due, and run periodic work."""
+        if now >= self._heartbeat_at:
+            self._heartbeat_at = now + HEARTBEAT_INTERVAL
             settled = self.runner.vitals().settled_view
-            beat = Beat(self.host, self._boot, self._incarnation, settled)
-            self.to_peer(CONTROL, beat)
+            heartbeat = Heartbeat(
+                self.host, self._boot, self._incarnation, settled
+            )
+            self.to_peer(CONTROL, heartbeat)
         self.runner.tick(now)
 
     def to_peer(self, endpoint: str, payload: object) -> None:
-        """Send a frame."""
+        """Send a message to a process."""
         self._exchange.send(self.endpoint, endpoint, payload)
 
     def to_server(self, packet: bytes, source: int) -> None:
-        """Send a packet to the server."""
+        """Send a packet to the fake server."""
         self.to_peer(self._server, ServerPacket(packet, source))
 
     def replace_source(self, source: int) -> None:
-        """Do nothing: sockets are not faked."""
+        """Do nothing, because there are no sockets here."""
 
     def fetch_if_newer(self, revision: int, endpoint: str) -> None:
         """Fetch newer tables."""
         if revision > self.tables.revision:
             self.to_peer(endpoint, Fetch())
 
-    def _take(self, frame: Frame, now: float) -> None:
+    def _handle(self, frame: Frame, now: float) -> None:
         match frame.payload:
             case ServerPacket(payload, source):
                 self.runner.handle_server_packet(payload, source, now)
@@ -161,12 +163,12 @@
             case _:
                 self.runner.handle_frame(frame.payload, frame.source, now)
 
-    def _adopt(self, now: float) -> None:
+    def _apply(self, now: float) -> None:
         self.runner.apply_tables(self.tables, self._incarnation, now)
 
 
 class Balancer:
-    """A balancer: the real decisions behind a fake fabric."""
+    """A balancer: the real forwarding decisions without the fabric."""
 
     def __init__(self, pool: 'FakePool', endpoint: str) -> None:
         self.tables = Tables()
@@ -175,7 +177,7 @@
         self._forwarder = Forwarder(parse_endpoint(endpoint), KEY)
 
     def receive(self, frame: Frame, now: float) -> None:
-        """Take a frame of an agent or a caller's packet."""
+        """Handle a frame from an agent or a packet from a caller."""
         match frame.payload:
             case Tables(revision=revision):
                 if revision > self.tables.revision:
@@ -220,7 +222,7 @@
 
 
 class Control:
-    """Stands for the control instances: members, leases, views, marks."""
+    """Fake of the control instances: members, leases, views and drain marks."""
 
     def __init__(self, exchange: Exchange, tables: Tables) -> None:
         self.tables = tables
@@ -232,13 +234,13 @@
         exchange.process_by_address[CONTROL] = self
 
     def announce(self, member: Member) -> None:
-        """Know a process before it beats for the first time."""
+        """Register the member that a process becomes at its first heartbeat."""
         self._announced_by_host[member.host] = member
 
     def receive(self, frame: Frame, now: float) -> None:
-        """Take a heartbeat."""
+        """Handle a heartbeat or a request for tables."""
         match frame.payload:
-            case Beat(host, boot, incarnation, settled):
+            case Heartbeat(host, boot, incarnation, settled):
                 self._heard_at[host] = now
                 self._settled[host] = settled
                 self._answer(frame.source, host, boot, incarnation)
@@ -259,7 +261,7 @@
                     self._exchange.send(CONTROL, endpoint, self.tables)
 
     def restart(self) -> None:
-        """Be there again, as a new leader that waits for a lease's time."""
+        """Restart as a new leader, which removes no member before a lease."""
         self._heard_at.clear()
         self._exchange.process_by_address[CONTROL] = self
 
@@ -270,7 +272,7 @@
         self._commit(members)
 
     def mark_draining(self, host: str, *, is_draining: bool = True) -> None:
-        """Take a member out of the view, or in; it stays a member."""
+        """Set or clear the drain mark; a draining member is not in the view."""
         members = dict(self.tables.member_by_host)
         if host not in members:
             return
@@ -278,7 +280,7 @@
         self._commit(members)
 
     def replace_balancers(self, balancers: tuple[str, ...]) -> None:
-        """Have other balancers as members."""
+        """Replace the balancers in the tables."""
         members = {
             host: member
             for host, member in self.tables.member_by_host.items()
@@ -287,7 +289,7 @@
         self._commit(members | balancer_members(balancers))
 
     def mark_zone(self, zone: str, *, is_out: bool) -> None:
-        """Take a zone out or in."""
+        """Take a zone out of service, or back in."""
         zones = {**self.tables.zone_by_name, zone: ZoneMark(zone, is_out)}
         self.tables = attrs.evolve(self.tables, zone_by_name=zones)
         self._commit(dict(self.tables.member_by_host))
@@ -349,16 +351,16 @@
 
 
 class FakePool:
-    """Agents with their servers, balancers, control, and callers.
+    """A pool of agents and servers, with balancers, control and callers.
 
     Parameters
     ----------
     hosts : int
-        How many agents.
+        Number of agents.
     slots : int
-        Requests that each server bears.
+        Number of concurrent requests that each server can run.
     started : int, optional
-        How many of the agents run at first; all by default.
+        Number of agents started at first; all by default.
     """
 
     def __init__(
@@ -388,7 +390,7 @@
             self.start(first)
 
     def start(self, host: str) -> Agent:
-        """Start an agent, also one that was killed."""
+        """Start an agent, for the first time or after it was killed."""
         endpoint = self.endpoint_by_host[host]
         member = Member(
             host=host,
@@ -405,12 +407,12 @@
         return agent
 
     def start_balancer(self, endpoint: str) -> None:
-        """Start a balancer, also one that was killed."""
+        """Start a balancer, for the first time or after it was killed."""
         balancer = Balancer(self, endpoint)
         self.exchange.process_by_address[endpoint] = balancer
 
     def replace_balancers(self) -> None:
-        """Have new balancers stand in for all old ones."""
+        """Replace all balancers by new ones at other endpoints."""
         former = self.balancers
         self.balancers = tuple(
             f'10.0.2.{number}:7000' for number in range(1, len(former) + 1)
@@ -424,14 +426,14 @@
             self.kill(gone)
 
     def leave(self, host: str) -> None:
-        """Have an agent leave, as when its process is told to stop."""
+        """Make an agent leave, as when its process is told to stop."""
         self.agent(host).runner.leave()
         self.exchange.call_later(
-            LEAVING_HEARD, lambda: self.control.mark_draining(host)
+            LEAVE_NOTICE_DELAY, lambda: self.control.mark_draining(host)
         )
 
     def living(self) -> tuple[str, ...]:
-        """Return the hosts whose agents live."""
+        """Return the hosts whose agents are running."""
         return tuple(
             host
             for host, endpoint in self.endpoint_by_host.items()
@@ -439,19 +441,19 @@
         )
 
     def kill(self, address: str) -> None:
-        """End a process without a word."""
+        """Crash the process at an address."""
         self.exchange.process_by_address.pop(address, None)
 
     def agent(self, host: str) -> Agent:
-        """Return a living agent."""
+        """Return the running agent of a host."""
         return self.exchange.process_by_address[self.endpoint_by_host[host]]
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.exchange.run(seconds)
 
     def caller(self, number: int = 1) -> FakeCaller:
-        """Return a new caller."""
+        """Create and return a caller."""
         address = f'192.0.2.{number}:5000'
         made = FakeCaller(self.exchange, address, SERVICE, self.balancers)
         self.callers.append(made)
@@ -473,12 +475,12 @@
         return pair_of(members, POOL, bucket).home.host
 
     def runs(self, body: bytes) -> int:
-        """Return how often a non-idempotent request was run."""
+        """Return how often a non-idempotent request has run on any server."""
         servers = self.server_by_host.values()
         return sum(server.runs_by_key[body] for server in servers)
 
     def total(self, name: str) -> int:
-        """Return a counter summed over the living agents."""
+        """Return a counter summed over the running agents."""
         processes = self.exchange.process_by_address.values()
         return sum(
             process.metrics.total_by_name[name]
@@ -498,7 +500,7 @@
 
 
 def balancer_members(balancers: tuple[str, ...]) -> dict[str, Member]:
-    """Return the members that balancers at these endpoints are."""
+    """Return rows of the member table for balancers at these endpoints."""
     return {
         f'entry {endpoint}': Member(
             host=f'entry {endpoint}',
--- a/redwingstream/agent/tests/steps.py
+++ b/redwingstream/agent/tests/steps.py
@@ -1,4 +1,4 @@
-"""The steps of the protocol at which the fault matrix does its faults."""
+"""The steps of the protocol at which the fault matrix injects its faults."""
 
 from collections.abc import Callable
 
@@ -36,9 +36,9 @@
     name : str
         Its row in the table.
     scenario : str
-        What brings it about.
+        Scenario of the fault matrix in which the step occurs.
     matches : callable
-        Whether a frame is this step.
+        Whether a frame belongs to this step.
     """
 
     name: str
--- a/redwingstream/agent/tests/support.py
+++ b/redwingstream/agent/tests/support.py
@@ -1,4 +1,4 @@
-"""What several tests do to a pool."""
+"""Set-up steps and faults that several tests of a pool share."""
 
 import itertools
 
@@ -20,7 +20,7 @@
 
 
 def warm_up(pool: FakePool) -> None:
-    """Let every server reach its full limit."""
+    """Send requests until the limit of every server has its full size."""
     for host in pool.living():
         pool.agent(host).core.parts.limit.set_expected_latency(
             _EXPECTED_LATENCY
@@ -37,13 +37,23 @@
 
 
 def caller_with_home(pool: FakePool, host: str) -> FakeCaller:
-    """Return a caller whose home is a host once all agents serve."""
+    """Return a caller whose home is the given host once all agents serve."""
     callers = (pool.caller(number) for number in itertools.count(1))
     return next(each for each in callers if pool.home_of_all(each) == host)
 
 
 def drop_frames(pool: FakePool, *kinds: type, to: str = '') -> None:
-    """Lose every frame of some kinds from now on."""
+    """Drop messages of some classes from now on.
+
+    Parameters
+    ----------
+    pool : FakePool
+        The pool.
+    *kinds : type
+        Classes of the messages.
+    to : str, optional
+        Only messages to addresses that contain this text; all by default.
+    """
 
     def inspect(frame: Frame) -> tuple[float, ...] | None:
         if isinstance(frame.payload, kinds) and to in frame.target:
@@ -54,14 +64,14 @@
 
 
 def hold_slots(pool: FakePool, host: str) -> None:
-    """Leave no room at the server of a host."""
+    """Reserve all slots of the server of a host."""
     limit = pool.agent(host).core.parts.limit
     while limit.can_start(pool.exchange.now):
         limit.try_start(pool.exchange.now)
 
 
 def carriers(pool: FakePool) -> list[str]:
-    """Return the hosts that carry feeds."""
+    """Return the hosts whose agents carry feeds."""
     return [
         host for host in pool.living() if len(pool.agent(host).core.parts.feeds)
     ]
--- a/redwingstream/agent/tests/test_basic.py
+++ b/redwingstream/agent/tests/test_basic.py
@@ -1,4 +1,4 @@
-"""The usual way of requests and feeds through a pool without faults."""
+"""Requests and feeds in a pool without faults."""
 
 from redwingstream.agent.tests.support import settled_pool
 
@@ -23,7 +23,7 @@
 class TestFeeds:
     """Feeds without faults."""
 
-    def test_goes_on(self) -> None:
+    def test_notifications_continue(self) -> None:
         pool = settled_pool()
         watched = pool.caller().watch()
         pool.run(20)
--- a/redwingstream/agent/tests/test_input.py
+++ b/redwingstream/agent/tests/test_input.py
@@ -1,4 +1,4 @@
-"""Malformed, unexpected and misrouted input."""
+"""Malformed, unexpected and misrouted messages to an agent."""
 
 import attrs
 import pytest
@@ -74,7 +74,7 @@
 
 
 class TestMalformed:
-    """One bad packet does no harm to any other request."""
+    """A malformed packet does not affect other requests."""
 
     @settings(max_examples=150)
     @given(payloads=st.lists(mutated(), min_size=1, max_size=8))
@@ -104,8 +104,8 @@
         pool.run(3)
 
     @settings(max_examples=100)
-    @given(payload=mutated(), is_once=st.booleans())
-    def test_assigned(self, payload: bytes, is_once: bool) -> None:
+    @given(payload=mutated(), is_non_idempotent=st.booleans())
+    def test_assigned(self, payload: bytes, is_non_idempotent: bool) -> None:
         pool = settled_pool(hosts=2)
         core = pool.agent(pool.hosts[0]).core
         home = pool.endpoint_by_host[pool.hosts[1]]
@@ -114,16 +114,16 @@
             home=home,
             generation=0,
             carrier_incarnation=core.parts.identity.incarnation,
-            wants_outcome=is_once,
+            wants_outcome=is_non_idempotent,
         )
         core.handle_message(message, home, pool.exchange.now)
         pool.run(3)
 
     def test_endless_deadline(self) -> None:
-        """One caller's request stops an agent from reading any other.
+        """A huge deadline option must not stop an agent from reading packets.
 
-        The deadline in its option has a thousand digits, and dividing it
-        raised an error that nobody expected.
+        An option of 200 bytes holds a number of several hundred digits;
+        dividing it raises an error that must be handled.
         """
         pool = settled_pool(hosts=1)
         message = coap.decode(_message(coap.POST))
@@ -156,7 +156,7 @@
 
 
 class TestMisrouted:
-    """A packet of one service never reaches the server of another."""
+    """A packet for one pool never reaches a server of another pool."""
 
     @pytest.mark.parametrize(
         'changes',
@@ -167,10 +167,10 @@
         ],
     )
     def test_refused(self, changes: dict[str, str]) -> None:
-        """A sward-live packet reaches the cover-reports server.
+        """A packet must not reach a server of the wrong pool.
 
         A balancer with old tables sends to an address that now belongs to an
-        agent of another pool, or sends by a route that is gone.
+        agent of another pool, or follows a route that was removed.
         """
         pool = settled_pool(hosts=1)
         agent = pool.agent(pool.hosts[0])
@@ -205,10 +205,10 @@
         assert agent.metrics.total_by_name['misrouted'] == 1
 
     def test_former_run_is_not_assigned(self) -> None:
-        """A booking runs twice after its carrier has restarted.
+        """A request must not run twice when its carrier restarts.
 
-        The home repeats an assignment whose first copy the former run of the
-        carrier has run; the new run knows nothing of it.
+        The home repeats an assignment that the carrier's former run has
+        already run; the new run has no record of it.
         """
         pool = settled_pool(hosts=2)
         core = pool.agent(pool.hosts[0]).core
--- a/redwingstream/agent/tests/test_requests.py
+++ b/redwingstream/agent/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests that are lost, repeated, or meet a change of view."""
+"""Non-idempotent requests under loss, repetition and changes of view."""
 
 import functools
 
@@ -9,12 +9,12 @@
     RETRY_RESERVE,
 )
 from redwingstream.agent.tests.exchange import Frame
-from redwingstream.agent.tests.fake_caller import SentRequest, FakeCaller
+from redwingstream.agent.tests.fake_caller import FakeCaller, SentRequest
 from redwingstream.agent.tests.pool import FakePool
 from redwingstream.agent.tests.support import (
     caller_with_home,
-    hold_slots,
     drop_frames,
+    hold_slots,
     settled_pool,
     warm_up,
 )
@@ -29,14 +29,14 @@
 
 
 class TestReplays:
-    """A replay gets the truth, wherever it arrives."""
+    """A replay gets a true answer at whatever agent it arrives."""
 
     def test_at_a_fenced_home(self) -> None:
-        """The caller is told *not run* of a booking that has run.
+        """A fenced home must not answer *not run* for a request that has run.
 
-        The home runs it and the answer is lost.  An agent joins, is home of
-        the bucket now and fences the old home, which has not heard of the new
-        view.  The replay reaches the old home, which refused it.
+        The home runs the request and the answer is lost.  An agent joins,
+        becomes home of the bucket and fences the old home, which does not know
+        the new view yet.  The replay reaches the old home.
         """
         pool = FakePool(hosts=3, started=2)
         pool.run(3)
@@ -57,14 +57,14 @@
     @pytest.mark.parametrize(
         ('lifetime', 'outcome'), [(0.2, 'answered'), (0.008, 'unknown')]
     )
-    def test_at_a_heir_that_stands_in(
+    def test_at_the_heir_of_a_silent_home(
         self, lifetime: float, outcome: str
     ) -> None:
-        """The caller is told *not run* of a booking that has run.
+        """An heir must not answer *not run* for a request that has run.
 
-        The home runs it and dies; its answer is lost, perhaps also what it
-        tells the heir.  The heir finds the home silent and refused the replay,
-        because only a home may decide on it.
+        The home runs the request and crashes; the answer is lost, and in one
+        case the outcome does not reach the heir either.  The replay reaches
+        the heir while the home is silent.
         """
         pool = settled_pool()
         caller = pool.caller()
@@ -85,10 +85,10 @@
         assert pool.runs(b'bay 7') <= 1
 
     def test_at_a_balancer_without_tables(self) -> None:
-        """The caller is told *not run* of a booking that is running.
+        """A balancer without tables must not refuse a request that is running.
 
-        The first packet reached its home.  The replay goes to a balancer that
-        has just started and has no tables: it knew no route and said so.
+        The first packet reaches its home.  The replay goes to a balancer that
+        has just started and knows no route yet.
         """
         pool = settled_pool()
         caller = pool.caller()
@@ -105,11 +105,12 @@
         assert asked.outcome == 'answered'
         assert pool.runs(b'bay 7') == 1
 
-    def test_no_place_while_recovering(self) -> None:
-        """The caller is told *not run* of a booking that has run.
+    def test_full_server_while_recovering(self) -> None:
+        """A recovering home must not refuse the replay of a request as new.
 
-        Home and heir run it and are lost.  The new home hears nobody of that
-        pair, and the replay finds its server full: it was refused as new.
+        The request runs, then home and heir are both lost.  The new home gets
+        no contents from that pair, and its server is full when the replay
+        arrives.
         """
         pool = settled_pool(hosts=4)
         caller = pool.caller()
@@ -126,10 +127,10 @@
         assert pool.runs(b'bay 7') == 1
 
     def test_condensed_requests_travel(self) -> None:
-        """A booking runs twice after its bucket has moved.
+        """A request must not run twice after its bucket has moved.
 
-        The ledger has condensed its entry into a filter.  The new home is
-        given the entries only, and takes the replay for a new request.
+        The ledger has condensed its entry into a filter.  If the new home
+        received only the entries, it would take the replay for a new request.
         """
         pool = FakePool(hosts=3, started=2)
         pool.run(3)
@@ -156,7 +157,7 @@
 
 
 class TestReusedIds:
-    """A message id or token used again names another request."""
+    """A reused message id and token identify another request."""
 
     def test_at_the_home(self) -> None:
         pool = settled_pool()
@@ -170,11 +171,11 @@
         assert not caller.wrong_answers
 
     def test_at_a_carrier(self) -> None:
-        """The caller gets the answer to its former booking.
+        """A carrier must not answer a request with an earlier outcome.
 
-        The home has another agent run the booking.  The caller uses message
-        id and token again for another one, which goes to the same agent; it
-        knew assignments by those alone and repeated the former outcome.
+        The home assigns a request to another agent.  The caller reuses message
+        id and token for a second request, which goes to the same agent; an
+        agent that compares only these would repeat the first outcome.
         """
         pool = settled_pool(hosts=2)
         warm_up(pool)
@@ -191,7 +192,7 @@
 
 
 class TestLostRecords:
-    """What the heir does not acknowledge is not run."""
+    """A request whose record the heir does not acknowledge is not run."""
 
     def test_heir_silent(self) -> None:
         pool = settled_pool()
@@ -213,11 +214,11 @@
         assert asked.outcome == 'not run'
         assert pool.runs(b'bay 7') == 0
 
-    def test_handed_on_after_a_fence(self) -> None:
-        """A booking is refused because its bucket changes hands.
+    def test_forwarded_after_a_change_of_view(self) -> None:
+        """A request must not be refused because its bucket moves.
 
         The record waits for the heir when a new view makes another agent
-        home.  It was given up as *not run*; the new home can run it.
+        home.  The request is passed to the new home, which runs it.
         """
         pool = settled_pool()
         caller = pool.caller()
@@ -233,7 +234,7 @@
 
 
 class TestLedgerFull:
-    """A ledger without room refuses, and says so truthfully."""
+    """A request that does not fit into the ledger is answered as *not run*."""
 
     def test_refused(self) -> None:
         pool = settled_pool()
@@ -248,13 +249,13 @@
 
 
 class TestOutcomes:
-    """Outcomes find whoever is home."""
+    """Outcomes reach the present home of the bucket."""
 
     def test_home_lost_before_the_outcome(self) -> None:
-        """A booking that was run is told *unknown*, although it is known.
+        """A known outcome must not be answered as *unknown*.
 
-        The home has another agent run it and dies before the outcome comes.
-        The carrier told the dead home only.
+        The home assigns a request to another agent and crashes before the
+        outcome arrives.  The carrier also has to report it to the new home.
         """
         pool = settled_pool(hosts=3)
         warm_up(pool)
@@ -272,15 +273,15 @@
 
 
 class TestServerLost:
-    """The server of the home gives no answer; its agent lives."""
+    """The server of the home does not answer, while its agent runs."""
 
-    def test_others_run_what_is_home_there_though_they_are_cold(self) -> None:
-        """All bookings are refused while two of three servers stand idle.
+    def test_cold_servers_run_assigned_requests(self) -> None:
+        """Requests must not be refused while two of three servers are idle.
 
-        Few callers, and one agent is home of them all.  Its server dies.  The
-        other servers have had nothing to run since their start, so they count
-        as cold, and cold ones are given nothing by other homes: they never
-        warm up, and the bookings are refused until the server is back.
+        One agent is home of all callers, and its server stops answering.  The
+        other servers have run nothing since their start, so they count as
+        cold.  If homes assigned nothing to cold servers, these would never
+        warm up, and all requests would be refused until the server is back.
         """
         pool = settled_pool()
         home = pool.hosts[0]
@@ -302,13 +303,14 @@
 
 
 class TestLostCarriers:
-    """Agents that die with what they were assigned."""
+    """Agents that crash while they run assigned requests."""
 
-    def test_told_once_control_knows(self) -> None:
-        """A caller waits 20 s for an answer that cannot come.
+    def test_ended_when_carrier_is_removed(self) -> None:
+        """A caller must not wait 20 s for an answer that cannot arrive.
 
-        The home has another agent run its booking, and that agent dies.  The
-        home waited until the deadline, although control had removed the agent.
+        The home assigns a request to another agent, which crashes.  The home
+        ends the request as soon as the control instances have removed that
+        agent, not only at the deadline.
         """
         pool = settled_pool(hosts=3)
         warm_up(pool)
@@ -331,13 +333,13 @@
 
 
 class TestRepeats:
-    """What the system repeats on its own account."""
+    """Repeated assignments stay within the retry budget."""
 
     def test_within_a_budget(self) -> None:
-        """Agents that are late get each request four times, and are later.
+        """Overloaded agents must not get every assignment four times.
 
-        Assignments to another agent stay without an outcome; each was
-        repeated three times, whatever the load.
+        No assignment gets an outcome.  Three repeats of each, whatever the
+        load, would slow the agents down further.
         """
         pool = settled_pool(hosts=2)
         warm_up(pool)
@@ -356,7 +358,7 @@
 
 
 class TestSeveralAtOnce:
-    """One caller with several requests, answered in any order."""
+    """One caller with several concurrent requests, answered in any order."""
 
     @pytest.mark.parametrize('delay', [0, 0.3])
     def test_each_gets_its_own(self, delay: float) -> None:
--- a/redwingstream/agent/wait_queue.py
+++ b/redwingstream/agent/wait_queue.py
@@ -1,9 +1,9 @@
-"""Requests that wait a moment for a place on the server.
+"""Bounded queue of requests that wait for a slot on the server.
 
-A server with two slots at half load has both in use a fifth of the time.  To
-refuse at once then costs a caller seconds, while a slot is free in a few
-milliseconds.  So a request may wait, but only for as long as the server is
-expected to need for those before it, and never for long.
+A server with two slots at half load has both in use a fifth of the time.  A
+request that is refused then costs its caller seconds, although a slot is free
+within milliseconds.  So a request may wait if the expected wait, by the
+server's latency and the requests before it, is short.
 """
 
 from collections import deque
@@ -13,96 +13,100 @@
 
 from redwingstream.admission.limit import ConcurrencyLimit
 
-LONGEST_WAIT = 0.25
-"""Seconds that a request may be expected to wait, and may wait at most."""
+MAX_WAIT_SECONDS = 0.25
+"""Maximum seconds of the expected and of the actual wait of a request."""
 
 MAX_WAITING = 64
 
 
 @attrs.frozen(eq=False)
 class Waiter:
-    """A request that would like to wait.
+    """A request that asks to wait for a slot.
 
     Parameters
     ----------
     deadline : float
-        When its answer is of no use any more, in seconds.
-    admitted : callable
-        Called with the time once a slot may be free: it reserves one, and
-        returns False when there was none after all.
-    refused : callable
-        Called with the time when it has waited long enough.
+        When its caller stops waiting for the answer, in seconds by the event
+        loop's clock.
+    try_start : callable
+        Called with the current time when a slot may be free.  Reserves one;
+        returns False if there was none.
+    on_refused : callable
+        Called with the current time when the request is refused.
     """
 
     deadline: float
-    admitted: Callable[[float], bool]
-    refused: Callable[[float], None]
+    try_start: Callable[[float], bool]
+    on_refused: Callable[[float], None]
 
 
 @attrs.frozen(eq=False)
-class _Place:
+class _Entry:
     waiter: Waiter
-    until: float
+    expires_at: float
 
 
 class WaitQueue:
-    """First in, first out; bounded in number and in time.
+    """First-in, first-out queue, bounded in length and waiting time.
 
     Parameters
     ----------
     limit : ConcurrencyLimit
-        Of the server; what waits here is not handed to it.
+        Concurrency limit of the server; waiting requests do not count in it.
     """
 
     def __init__(self, limit: ConcurrencyLimit) -> None:
         self._limit = limit
-        self._places: deque[_Place] = deque()
-        self._is_serving = False
+        self._entries: deque[_Entry] = deque()
+        self._is_admitting = False
 
     def __len__(self) -> int:
-        """Return how many wait."""
-        return len(self._places)
+        """Return the number of waiting requests."""
+        return len(self._entries)
 
     def enter(self, waiter: Waiter, now: float) -> bool:
-        """Let a request wait; False means: place it elsewhere or refuse it."""
+        """Let a request wait; return False if the wait would be too long.
+
+        The request is then to be placed elsewhere or refused.
+        """
         wait = self._expected_wait()
-        if wait is None or wait > LONGEST_WAIT:
+        if wait is None or wait > MAX_WAIT_SECONDS:
             return False
-        run_time = self._limit.expected_latency or LONGEST_WAIT
+        run_time = self._limit.expected_latency or MAX_WAIT_SECONDS
         if now + wait + run_time > waiter.deadline:
             return False
-        self._places.append(_Place(waiter, now + LONGEST_WAIT))
+        self._entries.append(_Entry(waiter, now + MAX_WAIT_SECONDS))
         return True
 
     def admit_waiting(self, now: float) -> None:
-        """Give free slots to those who have waited longest."""
-        if self._is_serving:
-            # Entered again by a run that ends at once; the outer call goes on.
+        """Start waiting requests while there are free slots, oldest first."""
+        if self._is_admitting:
+            # Reentered by a run that ends at once; the outer call continues.
             return
-        self._is_serving = True
+        self._is_admitting = True
         self.refuse_expired(now)
-        while self._places and self._limit.can_start(now):
-            place = self._places.popleft()
-            if not place.waiter.admitted(now):
-                self._places.appendleft(place)
+        while self._entries and self._limit.can_start(now):
+            entry = self._entries.popleft()
+            if not entry.waiter.try_start(now):
+                self._entries.appendleft(entry)
                 break
-        self._is_serving = False
+        self._is_admitting = False
 
     def refuse_expired(self, now: float) -> None:
-        """Refuse those who have waited long enough."""
-        while self._places and now >= self._places[0].until:
-            self._places.popleft().waiter.refused(now)
+        """Refuse requests that have waited for the maximum time."""
+        while self._entries and now >= self._entries[0].expires_at:
+            self._entries.popleft().waiter.on_refused(now)
 
-    def clear(self, now: float) -> None:
-        """Refuse all: the server takes no work any more."""
-        while self._places:
-            self._places.popleft().waiter.refused(now)
+    def refuse_all(self, now: float) -> None:
+        """Refuse all waiting requests; the server accepts no more work."""
+        while self._entries:
+            self._entries.popleft().waiter.on_refused(now)
 
     def _expected_wait(self) -> float | None:
-        """Return the seconds until a slot is free for one more, if known."""
+        """Return the expected wait of a new request in seconds, if known."""
         latency = self._limit.expected_latency
         running = self._limit.in_flight
         if latency is None or not running or len(self) >= MAX_WAITING:
-            # With nothing running the limit is paused: no slot comes free.
+            # With no request running the limit is paused: no slot becomes free.
             return None
         return (len(self) + 1) * latency / running
