--- a/redwingstream/agent/assembly.py
+++ b/redwingstream/agent/assembly.py
@@ -1,57 +1,57 @@
-"""The deciding objects of an agent, connected with each other."""
+"""Creates and connects the objects that handle the messages of an agent."""
 
 from redwingstream.agent.assigned import IncomingAssignments
 from redwingstream.agent.assignments import OutgoingAssignments
 from redwingstream.agent.carrier import RequestExecutor
-from redwingstream.agent.request_endings import RequestEndings
 from redwingstream.agent.feed_checks import FeedChecks
+from redwingstream.agent.feed_moves import FeedMoves
 from redwingstream.agent.feeds import FeedRelay
 from redwingstream.agent.home import FlowPlacement
-from redwingstream.agent.intake import RequestHandlers, PacketDispatcher
-from redwingstream.agent.keeper_effects import KeeperSide
-from redwingstream.agent.feed_moves import FeedMoves
+from redwingstream.agent.intake import PacketDispatcher, RequestHandlers
+from redwingstream.agent.keeper_effects import KeeperEffectHandler
 from redwingstream.agent.once import NonIdempotentRequests
 from redwingstream.agent.parts import AgentParts
 from redwingstream.agent.reactions import AckRelay
 from redwingstream.agent.replies import Replies
-from redwingstream.agent.reports import Reports
+from redwingstream.agent.reports import PeerReports
+from redwingstream.agent.request_endings import RequestEndings
 from redwingstream.agent.runs import RunEnd
 from redwingstream.agent.server_effects import ServerEffectHandler
 
 
 class AgentComponents:
-    """Everybody at an agent who takes messages.
+    """The objects of an agent that handle messages and timers.
 
     Parameters
     ----------
     parts : AgentParts
-        What they share.
+        State and decision objects that they share.
     """
 
     def __init__(self, parts: AgentParts) -> None:
         self._parts = parts
         self._replies = Replies(parts)
         self.server = ServerEffectHandler(parts)
-        self.keeper = KeeperSide(parts)
-        self.reports = Reports(parts)
+        self.keeper = KeeperEffectHandler(parts)
+        self.reports = PeerReports(parts)
         self.executor = RequestExecutor(
-            parts, self._replies, self._run_ended, self.server.perform
+            parts, self._replies, self._handle_run_end, self.server.perform
         )
         self.feeds = FeedRelay(parts, self._replies, self.server.perform)
         self.assigned = IncomingAssignments(
             parts, self._replies, self.executor, self.feeds
         )
-        self._make_home_side()
+        self._create_home_handlers()
         self._connect()
 
     def handle_view_change(self, now: float) -> None:
-        """Look at once after what a view changes."""
-        self.checks.check_soon()
-        self.reports.assert_soon()
+        """Check and report at once what depends on the view."""
+        self.checks.schedule_check()
+        self.reports.schedule_feed_report()
         self.assigned.notify_new_homes(now)
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Do the periodic work of all objects."""
         parts = self._parts
         self.keeper.perform(parts.keeper.tick(now), now)
         self.server.perform(parts.upstream.poll(now), now)
@@ -60,7 +60,7 @@
         self.checks.check(now)
         self.reports.tick(now)
 
-    def _make_home_side(self) -> None:
+    def _create_home_handlers(self) -> None:
         parts = self._parts
         replies = self._replies
         perform = self.keeper.perform
@@ -74,11 +74,11 @@
         )
         self.moves = FeedMoves(parts, self.feeds, assignments, perform)
         self.checks = FeedChecks(parts, self.feeds, self.moves)
-        reactions = AckRelay(parts, self.feeds)
-        deciders = RequestHandlers(
-            self.home, self.non_idempotent, self.endings, reactions
+        ack_relay = AckRelay(parts, self.feeds)
+        handlers = RequestHandlers(
+            self.home, self.non_idempotent, self.endings, ack_relay
         )
-        self.dispatcher = PacketDispatcher(parts, replies, deciders)
+        self.dispatcher = PacketDispatcher(parts, replies, handlers)
 
     def _connect(self) -> None:
         self.server.executor = self.executor
@@ -95,7 +95,7 @@
         self.assigned.evict_expired(now)
         self.dispatcher.tick(now)
 
-    def _run_ended(self, end: RunEnd, now: float) -> None:
+    def _handle_run_end(self, end: RunEnd, now: float) -> None:
         self._parts.metrics.count(f'run_{end.state}')
         run = end.run
         if run.home:
--- a/redwingstream/agent/making.py
+++ b/redwingstream/agent/factory.py
@@ -1,9 +1,9 @@
-"""Makes the decision objects of an agent."""
+"""Creates the decision objects of an agent."""
 
 import random
 
 from redwingstream.admission.choice import PeerLoads
-from redwingstream.admission.come_back import RetryDelays, OverloadGauge
+from redwingstream.admission.come_back import OverloadGauge, RetryDelays
 from redwingstream.admission.feeds import FeedLimit
 from redwingstream.admission.limit import ConcurrencyLimit
 from redwingstream.admission.retry_budget import RetryBudget
@@ -34,15 +34,15 @@
     Parameters
     ----------
     me : AgentIdentity
-        Who it is.
+        Identity of this run of the agent.
     capacity : ServerCapacity
-        What its server bears.
+        Maximum load of its backend server.
     out : Outputs
-        What it can do.
+        Sends frames and packets of the agent.
     metrics : Metrics
-        What it counts.
+        Counters of the agent.
     rng : random.Random
-        Where tokens, delays and choices are drawn from.
+        Random source of tokens, delays and choices.
     """
     paths = ReturnPaths()
     store = AgentStore(me.carrier, REPLAY_HORIZON)
--- a/redwingstream/agent/feed_checks.py
+++ b/redwingstream/agent/feed_checks.py
@@ -1,7 +1,12 @@
-"""Finds feeds whose carrier is gone, silent, or stands in a zone out."""
+"""Finds feeds that their carriers do not serve.
+
+The home of a bucket, the agent that owns it, checks the feeds of the bucket.
+The carrier, the agent whose server serves a feed, may be gone, silent or in
+an availability zone that is out of service, or may not know of the feed.
+"""
 
-from redwingstream.agent.feeds import FeedRelay
 from redwingstream.agent.feed_moves import FeedMoves, Move
+from redwingstream.agent.feeds import FeedRelay
 from redwingstream.agent.parts import AgentParts
 from redwingstream.endpoints import parse_endpoint
 from redwingstream.errors import ResultCode
@@ -9,27 +14,28 @@
 from redwingstream.flows.records import FlowRecord
 from redwingstream.forwarding.messages import CarriedFeeds, FeedMoved
 
-FIRST_CONFIRM = 3.0
-"""Seconds in which a carrier is to name a feed that was placed with it."""
+FIRST_CONFIRM_TIMEOUT = 3.0
+"""Seconds within which a carrier must report a feed placed with it."""
 
-CONFIRMED_FOR = 25.0
-"""Seconds for which its word is believed; it repeats it every 10 s."""
+CONFIRMATION_TIMEOUT = 25.0
+"""Seconds for which a report is valid; carriers report every 10 s."""
 
 CHECK_INTERVAL = 1.0
-"""Seconds after which a feed without a carrier is tried again."""
+"""Seconds between two checks, thus also between two attempts to place a feed
+that has no carrier."""
 
 
 class FeedChecks:
-    """Looks after the feeds of the buckets of which this agent is home.
+    """Checks the feeds of the buckets of which this agent is home.
 
     Parameters
     ----------
     parts : AgentParts
-        The agent.
+        State and decision objects of the agent.
     feeds : FeedRelay
-        Feeds of the own server.
+        Feeds that this agent carries.
     moves : FeedMoves
-        Places feeds anew.
+        Places feeds at other carriers.
     """
 
     def __init__(
@@ -41,12 +47,12 @@
         self._check_at = float()
         self._due_by_record: dict[FlowRecord, float] = {}
 
-    def check_soon(self) -> None:
-        """Have the next :meth:`check` look at once: the tables changed."""
+    def schedule_check(self) -> None:
+        """Check at the next call of :meth:`check`, as the tables changed."""
         self._check_at = float()
 
     def check(self, now: float) -> None:
-        """Look for feeds that their carriers do not carry."""
+        """Check all feeds, at most once per ``CHECK_INTERVAL``."""
         if now < self._check_at:
             return
         self._check_at = now + CHECK_INTERVAL
@@ -55,20 +61,20 @@
         for record in self._parts.store.flows.feeds():
             key = record.key
             if self._moves.is_home(key) and not self._moves.is_moving(key):
-                due = former_dues.get(record, now + FIRST_CONFIRM)
+                due = former_dues.get(record, now + FIRST_CONFIRM_TIMEOUT)
                 self._due_by_record[record] = due
-                self._check_one(record, now)
+                self._check_feed(record, now)
 
     def handle_carried_feeds(
         self, message: CarriedFeeds, source: str, now: float
     ) -> None:
-        """Learn of feeds from the agent that carries them.
+        """Compare the feeds that a carrier reports with the flow table.
 
         Notes
         -----
-        A carrier that was cut off while its feed was placed elsewhere goes on
-        sending, and to its caller what it sends looks newer again after 128 s
-        without a notification (RFC 7641).  So it is told to let go.
+        A carrier that was cut off while its feed was moved keeps sending
+        notifications.  After 128 s without another notification the caller
+        takes them for newer ones (RFC 7641), so the carrier is told to stop.
         """
         for record in message.records:
             if self._moves.is_home(record.key):
@@ -80,65 +86,66 @@
             key.caller, key.service, key.token, now
         )
         if known == record:
-            self._due_by_record[record] = now + CONFIRMED_FOR
+            self._due_by_record[record] = now + CONFIRMATION_TIMEOUT
             return
         if self._moves.is_moving(key):
             return
-        if known is None or known.key != key or _beats(record, known):
-            self._moves.remember(record, now)
+        if known is None or known.key != key or _replaces(record, known):
+            self._moves.store_record(record, now)
         elif known.generation == record.generation:
             moved = FeedMoved(key, record.generation + 1)
             self._parts.out.to_peer(source, moved)
         elif not self._moves.is_handed_over(key, now):
-            # The new carrier tells the former one, once it serves the feed:
-            # it may never have heard of it.
-            observe = _last_number(record)
+            # The new carrier may not have received the feed.  It tells the
+            # former carrier to stop once it serves the feed.
+            observe = _highest_observe(record)
             self._moves.hand_over(Move(known, observe, source), now)
 
-    def _check_one(self, record: FlowRecord, now: float) -> None:
+    def _check_feed(self, record: FlowRecord, now: float) -> None:
         parts = self._parts
         carrier = record.carrier
         if carrier == parts.identity.carrier:
             if parts.feeds.handover(record.key) is None:
-                self._tell_again(record, now)
+                self._resend_unconfirmed(record, now)
         elif parts.is_carrier_in_zone_out(carrier):
-            self._give_up(record, now)
+            self._end_feed(record, now)
         elif parts.is_carrier_silent(carrier, now):
             parts.metrics.count('feed_orphaned')
-            self._moves.place(record, _last_number(record), '', now)
+            self._moves.place(record, _highest_observe(record), '', now)
         else:
-            self._expect_sign(record, now)
+            self._probe_carrier(record, now)
 
-    def _expect_sign(self, record: FlowRecord, now: float) -> None:
-        """Have a carrier probed, and told of a feed that it does not name.
+    def _probe_carrier(self, record: FlowRecord, now: float) -> None:
+        """Probe a carrier, and send it a feed that it does not report.
 
         Guards against the loss of a :class:`TakeFeed` whose sender is lost or
-        replaced too: home and heir name a carrier that knows nothing of the
-        feed, and it would be silent for good.  Carriers name their feeds when
-        the view changes and from time to time.
+        replaced as well: the records of home and heir then name a carrier that
+        does not know the feed, and the feed would stay silent.  Carriers
+        report their feeds when the view changes and periodically.
         """
         endpoint = self._parts.endpoint_of_carrier(record.carrier)
         if endpoint is None:
             return
-        # Probed unless it is heard from before.
+        # A probe is sent unless a frame of the carrier arrives first.
         self._parts.links.sent(parse_endpoint(endpoint), now)
-        self._tell_again(record, now)
+        self._resend_unconfirmed(record, now)
 
-    def _tell_again(self, record: FlowRecord, now: float) -> None:
+    def _resend_unconfirmed(self, record: FlowRecord, now: float) -> None:
         if now >= self._due_by_record[record]:
             self._parts.metrics.count('feed_unconfirmed')
-            self._due_by_record[record] = now + FIRST_CONFIRM
+            self._due_by_record[record] = now + FIRST_CONFIRM_TIMEOUT
             self._moves.hand_over(Move(record, 0, ''), now)
 
-    def _give_up(self, record: FlowRecord, now: float) -> None:
-        """Tell the caller, in case the zone's own agent cannot.
+    def _end_feed(self, record: FlowRecord, now: float) -> None:
+        """End a feed whose carrier is in a zone that is out of service.
 
         Notes
         -----
-        The feed is taken for a moment, so that the last message has a message
-        id from the range of this agent.  One that another carrier may have
-        used lately would look like a duplicate, and the caller would drop it.
-        The carrier, which may not know of the zone's mark yet, lets go.
+        The carrier may be unable to tell the caller, or may not know yet that
+        its zone is out, so it is told to stop.  This agent takes the feed over
+        just to end it: the final message then has a message id from the range
+        of this agent.  An id that another carrier has used recently would look
+        like a duplicate, and the caller would drop the message.
         """
         self._parts.metrics.count('feed_given_up')
         endpoint = self._parts.endpoint_of_carrier(record.carrier)
@@ -152,16 +159,16 @@
         self._feeds.perform(effects, now)
 
 
-def _last_number(record: FlowRecord) -> int:
-    """Return the last number that may have been sent under a record."""
+def _highest_observe(record: FlowRecord) -> int:
+    """Return the highest Observe number that a record's generation allows."""
     return sequence_number(record.generation, COUNTER_LIMIT - 1)
 
 
-def _beats(record: FlowRecord, known: FlowRecord) -> bool:
+def _replaces(record: FlowRecord, known: FlowRecord) -> bool:
     """Whether a record replaces the known one in the flow table.
 
-    Two homes that were cut off from each other can have placed a feed under
-    one generation; the greater name of the carrier decides.
+    Two homes that were cut off from each other may have placed a feed under
+    the same generation; then the greater carrier name wins.
     """
     return (record.generation, record.carrier) > (
         known.generation,
--- a/redwingstream/agent/feed_moves.py
+++ b/redwingstream/agent/feed_moves.py
@@ -1,8 +1,12 @@
-"""Feeds that change their carrier, seen from their home.
+"""Moves feeds from one carrier to another, as decided by their home.
 
-A feed moves when its carrier asks (it leaves, or its server does not take it)
-and when its carrier is gone.  It never moves for balance.  A feed whose carrier
-stands in a zone that was taken out is given up.
+The home is the agent that owns the bucket of a feed; its heir holds a copy of
+the records.  The carrier is the agent whose server serves the feed.
+
+A feed moves when its carrier requests it (the carrier leaves, or its server
+does not accept the feed) and when its carrier is gone.  Feeds are never moved
+to balance load.  A feed whose carrier is in a zone that is out of service is
+ended instead.
 """
 
 from collections import OrderedDict
@@ -24,24 +28,25 @@
 from redwingstream.placement.messages import BucketContents
 
 RECORD_TIMEOUT = 1.5
-"""Seconds that the heir may take; after that a feed moves without it."""
+"""Seconds to wait for the heir; after that a feed moves without it."""
 
-HAND_OVER_TIME = 4.0
-"""Seconds in which a former carrier may still serve a feed."""
+HANDOVER_SECONDS = 4.0
+"""Seconds for which a former carrier may keep serving a moved feed."""
 
 
 @attrs.frozen(eq=False)
 class Move:
-    """A feed on its way to another carrier.
+    """A feed that is being moved to another carrier.
 
     Parameters
     ----------
     record : FlowRecord
-        Its new record.
+        New record of the feed, which names the new carrier.
     observe : int
-        Last number that its caller may have been sent.
+        Highest Observe number that the caller may have received.
     former : str
-        ``IP:PORT`` of the carrier that serves it until then; empty if none.
+        ``IP:PORT`` of the carrier that serves the feed until the new one does;
+        empty if there is none.
     """
 
     record: FlowRecord
@@ -50,18 +55,18 @@
 
 
 class FeedMoves:
-    """Places feeds anew whose carrier leaves or is gone.
+    """Moves feeds whose carrier leaves or is gone.
 
     Parameters
     ----------
     parts : AgentParts
-        The agent.
+        State and decision objects of the agent.
     feeds : FeedRelay
-        Feeds of the own server.
-    assignments : Assignments
+        Feeds that this agent carries.
+    assignments : OutgoingAssignments
         Chooses other agents.
     perform : callable
-        Carries out what the keeper asks for.
+        Performs effects of the bucket keeper.
     """
 
     def __init__(
@@ -77,12 +82,12 @@
         self._perform = perform
         self._move_by_ticket: dict[int, Move] = {}
         self._moving: set[FlowKey] = set()
-        self._handed_at: OrderedDict[FlowKey, float] = OrderedDict()
+        self._handed_over_at: OrderedDict[FlowKey, float] = OrderedDict()
 
     def handle_feed_move(
         self, message: FeedMove, source: str, now: float
     ) -> None:
-        """Take a carrier's request to place a feed elsewhere."""
+        """Handle the request of a carrier to move a feed."""
         key = message.record.key
         if not self.is_home(key) or self.is_moving(key):
             return
@@ -90,7 +95,7 @@
             key.caller, key.service, key.token, now
         )
         if known is not None and known.generation > message.record.generation:
-            # Placed before; the word to the new carrier or to the old one was
+            # Already moved; the message to the new or the former carrier was
             # lost.
             self.hand_over(Move(known, message.observe, source), now)
             return
@@ -99,34 +104,37 @@
     def place(
         self, record: FlowRecord, observe: int, former: str, now: float
     ) -> None:
-        """Have another agent carry a feed, once home and heir hold that."""
-        carrier = self._choose(former, now)
+        """Choose a new carrier and record it at home and heir."""
+        carrier = self._choose_carrier(former, now)
         if not carrier:
             self._parts.metrics.count('feed_without_carrier')
             return
-        following = attrs.evolve(
+        moved_record = attrs.evolve(
             record, carrier=carrier, generation=record.generation + 1
         )
         self._moving.add(record.key)
-        ticket, effects = self._record(following, now)
-        self._move_by_ticket[ticket] = Move(following, observe, former)
+        ticket, effects = self._send_record(moved_record, now)
+        self._move_by_ticket[ticket] = Move(moved_record, observe, former)
         self._perform(effects, now)
 
     def handle_feed_end(self, message: FeedEnd, now: float) -> None:
-        """Forget a feed that has ended."""
+        """Store the closing record of a feed that has ended."""
         if self.is_home(message.record.key):
-            self.remember(message.record, now)
+            self.store_record(message.record, now)
 
-    def remember(self, record: FlowRecord, now: float) -> None:
-        """Hold a record here and at the heir; nothing waits for it."""
+    def store_record(self, record: FlowRecord, now: float) -> None:
+        """Store a record here and send it to the heir without waiting."""
         key = record.key
         bucket = self._parts.bucket_of(key.caller, key.service)
         self._parts.store.flows.put(bucket, record, now)
-        _, effects = self._record(record, now)
+        _, effects = self._send_record(record, now)
         self._perform(effects, now)
 
-    def recorded(self, ticket: int, now: float) -> bool:
-        """Move a feed whose new record home and heir hold."""
+    def handle_recorded(self, ticket: int, now: float) -> bool:
+        """Hand over a feed whose new record is stored at home and heir.
+
+        Returns False if the ticket belongs to no move.
+        """
         move = self._move_by_ticket.pop(ticket, None)
         if move is None:
             return False
@@ -134,15 +142,21 @@
         self.hand_over(move, now)
         return True
 
-    def refused(self, ticket: int, reason: ResultCode, now: float) -> None:
-        """Move a feed without its heir, or try again later.
+    def handle_record_refused(
+        self, ticket: int, reason: ResultCode, now: float
+    ) -> None:
+        """Move a feed without its heir after a timeout.
+
+        Other refusals cancel the move; the next check or request starts it
+        again.
 
         Notes
         -----
-        Guards against a heir that is lost while control is gone: no new view
-        comes, and the feed would stand still.  Two carriers at once are no
-        harm that stays: the new one tells whoever is home of its generation,
-        and the higher one wins.  A request would run twice, a feed does not.
+        Guards against the loss of the heir while no control instance runs:
+        there is no new view, and the feed would stay silent.  Two carriers at
+        once do no lasting harm, as the new one reports its generation to the
+        home and the higher generation wins.  This holds for feeds only; a
+        request could run twice.
         """
         move = self._move_by_ticket.pop(ticket, None)
         if move is None:
@@ -158,32 +172,33 @@
     def is_home(self, key: FlowKey) -> bool:
         """Whether this agent decides on a feed.
 
-        Also while an earlier pair is lost: the carriers know their feeds, and
-        a home that did not listen to them would not find them for ACKs.
+        True also while the records of an earlier home and heir are lost:
+        carriers report their feeds, and a home that ignored the reports could
+        not forward ACKs to the carriers.
         """
         bucket = self._parts.bucket_of(key.caller, key.service)
         status = self._parts.keeper.status(bucket)
         return isinstance(status, InEffect | Recovering)
 
     def is_moving(self, key: FlowKey) -> bool:
-        """Whether a new record of a feed is on its way to the heir."""
+        """Whether a new record of a feed awaits the heir's answer."""
         return key in self._moving
 
     def is_handed_over(self, key: FlowKey, now: float) -> bool:
-        """Whether a feed moved so lately that its former carrier serves on."""
-        while self._handed_at:
-            oldest, handed_at = next(iter(self._handed_at.items()))
-            if now - handed_at < HAND_OVER_TIME:
+        """Whether the former carrier of a moved feed may still serve it."""
+        while self._handed_over_at:
+            oldest, handed_over_at = next(iter(self._handed_over_at.items()))
+            if now - handed_over_at < HANDOVER_SECONDS:
                 break
-            self._handed_at.pop(oldest)
-        return key in self._handed_at
+            self._handed_over_at.pop(oldest)
+        return key in self._handed_over_at
 
     def hand_over(self, move: Move, now: float) -> None:
-        """Tell the new carrier of a feed, also once more."""
+        """Send a feed to its new carrier; may be called again."""
         self._parts.metrics.count('feed_moved')
         record = move.record
-        self._handed_at[record.key] = now
-        self._handed_at.move_to_end(record.key)
+        self._handed_over_at[record.key] = now
+        self._handed_over_at.move_to_end(record.key)
         message = TakeFeed(record, move.observe, move.former)
         if record.carrier == self._parts.identity.carrier:
             self._feeds.handle_take_feed(message, now)
@@ -192,7 +207,7 @@
         if endpoint is not None:
             self._parts.out.to_peer(endpoint, message)
 
-    def _record(
+    def _send_record(
         self, record: FlowRecord, now: float
     ) -> tuple[int, list[Effect]]:
         key = record.key
@@ -202,11 +217,11 @@
             bucket, contents, now, now + RECORD_TIMEOUT
         )
 
-    def _choose(self, former: str, now: float) -> str:
-        """Return who is to carry a feed from now on.
+    def _choose_carrier(self, former: str, now: float) -> str:
+        """Return the new carrier of a feed; empty if there is none.
 
-        An established feed is taken on even beyond the limit for new ones
-        when nobody else has room: its registration waits for the server.
+        If no agent has room, an established feed is accepted beyond the limit
+        for new feeds; its registration then waits for the server.
         """
         is_own = former == self._parts.identity.endpoint
         if not is_own and self._feeds.has_room(now):
--- a/redwingstream/agent/feeds.py
+++ b/redwingstream/agent/feeds.py
@@ -1,4 +1,8 @@
-"""Feeds of the server beside this agent, from registration to end."""
+"""Relays the feeds carried by this agent between callers and its server.
+
+An agent carries a feed when its own backend server serves it.  The relay
+handles each carried feed from registration to end, within admission limits.
+"""
 
 import attrs
 from aiocoap.message import Message
@@ -26,34 +30,37 @@
 )
 
 MOVE_INTERVAL = 0.5
-"""Seconds between two requests to place the same feeds elsewhere."""
+"""Seconds between two requests to the homes to move the same feeds."""
+
+MAX_WAITING_FEEDS = 8
+"""Maximum count of new feeds that wait for registration at the server.
 
-MAX_WAITING = 8
-"""New feeds that may wait for a place on the server; two seconds of the
-pace of a cold one."""
+A cold server accepts that many in two seconds.
+"""
 
-FORMER_PATIENCE = 3.0
-"""Seconds that a former carrier serves on while the server here is asked."""
+FORMER_CARRIER_TIMEOUT = 3.0
+"""Seconds after which a former carrier is told to stop serving a feed, even if
+the server of this agent has not sent a notification."""
 
 
 @attrs.frozen
-class _Former:
+class _FormerCarrier:
     endpoint: str
     generation: int
-    until: float
+    deadline: float
 
 
 class FeedRelay:
-    """Carries feeds between callers and the server, within admission.
+    """Relays feeds between callers and the backend server.
 
     Parameters
     ----------
     parts : AgentParts
-        The agent.
+        State and decision objects of the agent.
     replies : Replies
         Sends packets to callers.
     perform : callable
-        Carries out what the server's side asks for.
+        Performs effects of the server's side.
 
     Attributes
     ----------
@@ -67,25 +74,25 @@
         self._parts = parts
         self._replies = replies
         self.openings = FeedOpenings(parts, perform)
-        self._former_by_key: dict[FlowKey, _Former] = {}
-        self._move_at = float()
+        self._former_by_key: dict[FlowKey, _FormerCarrier] = {}
+        self._next_move_at = float()
 
     def has_room(self, now: float) -> bool:
-        """Whether this agent may take one more new feed.
+        """Whether this agent accepts one more new feed.
 
         Notes
         -----
-        A registration takes milliseconds, so a few may wait for a place while
-        the server works; the pace of :class:`FeedLimit` still holds.  Refused
-        at once, callers who come together would be sent away by servers that
-        have room for hundreds.
+        A registration takes milliseconds, so a few may wait while all slots
+        of the server are in use; the rate of :class:`FeedLimit` still applies.
+        If they were refused at once, callers that register at the same time
+        would be refused by servers that have room for hundreds of feeds.
         """
         parts = self._parts
         if parts.is_leaving or parts.is_zone_out() or parts.server_is_silent:
             return False
         waiting = parts.feeds.waiting()
         if (
-            waiting >= MAX_WAITING
+            waiting >= MAX_WAITING_FEEDS
             or waiting >= parts.feed_limit.remaining_feeds()
         ):
             return False
@@ -95,7 +102,7 @@
     def register(
         self, record: FlowRecord, packet: Packet, request: Message, now: float
     ) -> None:
-        """Take a registration that home and heir have recorded."""
+        """Register a feed that home and heir have recorded."""
         effects = self._parts.feeds.register(
             record, request, packet.balancer, now
         )
@@ -103,33 +110,34 @@
         self.openings.open_waiting(now)
 
     def deregister(self, packet: Packet, request: Message, now: float) -> None:
-        """End a feed because its caller asks for it."""
+        """End a feed at the request of its caller."""
         key = FlowKey(packet.caller, packet.service, request.token)
         self.perform(self._parts.feeds.deregister(key), now)
 
     def handle_take_feed(self, message: TakeFeed, now: float) -> None:
-        """Go on with an established feed of another carrier.
+        """Continue an established feed of another carrier.
 
         Notes
         -----
-        The former carrier is told once the server here has sent its first
-        notification, so that there is no gap; or after a while, lest a slow
-        server here keeps one there that wants to leave.
+        The former carrier is told to stop once the server of this agent has
+        sent its first notification, so that the caller sees no gap.  It is
+        told after ``FORMER_CARRIER_TIMEOUT`` in any case, so that a slow
+        server does not hold up a former carrier that is leaving.
         """
         self._parts.metrics.count('feed_taken')
         record = message.record
         if message.former:
-            self._former_by_key[record.key] = _Former(
-                message.former, record.generation, now + FORMER_PATIENCE
+            self._former_by_key[record.key] = _FormerCarrier(
+                message.former, record.generation, now + FORMER_CARRIER_TIMEOUT
             )
         effects = self._parts.feeds.take(record, message.observe, now)
         self.perform(effects, now)
         self.openings.open_waiting(now)
 
-    def updated(
+    def handle_notification(
         self, source: object, notification: Message, now: float
     ) -> None:
-        """Pass a notification of the server on."""
+        """Forward a notification of the server to the caller."""
         if not isinstance(source, FeedSource):
             return
         self.openings.handle_notification(source, now)
@@ -137,22 +145,22 @@
         self.perform(self._parts.feeds.update(source, notification, now), now)
         self._release_former(source.key)
 
-    def ended(
+    def handle_end(
         self,
         source: object,
-        why: ResultCode,
+        reason: ResultCode,
         response: Message | None,
         now: float,
     ) -> None:
-        """Take the end of a feed at the server."""
+        """Handle the end of a feed at the server."""
         if not isinstance(source, FeedSource):
             return
         self.openings.handle_end(source, response, now)
-        effects = self._parts.feeds.ended(source, why, response, now)
+        effects = self._parts.feeds.ended(source, reason, response, now)
         self.perform(effects, now)
 
     def perform(self, effects: list[FeedEffect], now: float) -> None:
-        """Do what the callers' side of the feeds asks for."""
+        """Perform effects of the callers' side of the feeds."""
         for effect in effects:
             match effect:
                 case SendToCaller(balancer, caller, service, payload):
@@ -165,45 +173,45 @@
                     pool = self._parts.identity.pool
                     self._send_to_home(record, FeedEnd(pool, record))
                 case GenerationWanted(record):
-                    self._ask_to_move(record.key)
+                    self._request_move(record.key)
 
     def tick(self, now: float) -> None:
-        """Repeat notifications, register what waits, move what cannot."""
+        """Repeat notifications, register waiting feeds, request due moves."""
         self.perform(self._parts.feeds.poll(now), now)
         self.openings.open_waiting(now)
         for key, former in list(self._former_by_key.items()):
-            if now >= former.until:
+            if now >= former.deadline:
                 self._release_former(key)
-        if now >= self._move_at:
-            self._move_at = now + MOVE_INTERVAL
-            self._move_due(now)
+        if now >= self._next_move_at:
+            self._next_move_at = now + MOVE_INTERVAL
+            self._request_due_moves(now)
 
-    def end_all(self, why: ResultCode, now: float) -> None:
-        """End every feed at once, with when to come back."""
+    def end_all(self, reason: ResultCode, now: float) -> None:
+        """End every feed at once and tell callers when to register again."""
         for key in self._parts.feeds.keys():
             self._parts.metrics.count('feed_given_up')
-            self.perform(self._parts.feeds.give_up(key, why, now), now)
+            self.perform(self._parts.feeds.give_up(key, reason, now), now)
 
     def release_all(self, now: float) -> None:
-        """Leave every feed to others, without a word to its caller."""
+        """Stop carrying every feed; other agents continue them."""
         for record in self._parts.feeds.records():
-            later = FeedMoved(record.key, record.generation + 1)
-            self.perform(self._parts.feeds.moved(later), now)
+            moved = FeedMoved(record.key, record.generation + 1)
+            self.perform(self._parts.feeds.moved(moved), now)
 
     def schedule_moves(self) -> None:
-        """Have the next :meth:`tick` ask at once: this agent leaves."""
-        self._move_at = float()
+        """Request moves at the next :meth:`tick`, as this agent is leaving."""
+        self._next_move_at = float()
 
-    def _move_due(self, now: float) -> None:
-        """Ask the homes to place feeds elsewhere, at a bounded pace."""
+    def _request_due_moves(self, now: float) -> None:
+        """Ask the homes to move feeds without a server, or all when leaving."""
         feeds = self._parts.feeds
         keys = feeds.without_server(now, UNSERVED_FEED_TIMEOUT)
         if self._parts.is_leaving:
             keys = list(feeds.keys())
         for key in keys:
-            self._ask_to_move(key)
+            self._request_move(key)
 
-    def _ask_to_move(self, key: FlowKey) -> None:
+    def _request_move(self, key: FlowKey) -> None:
         move = self._parts.feeds.handover(key)
         if move is not None:
             self._send_to_home(move.record, move)
--- a/redwingstream/agent/reports.py
+++ b/redwingstream/agent/reports.py
@@ -1,4 +1,8 @@
-"""What an agent tells the others of its pool without being asked."""
+"""Sends the periodic messages of an agent to the other agents of its pool.
+
+These are load reports, by which agents choose where to place work, reports of
+carried feeds to their homes, and probes of agents that have been silent.
+"""
 
 from redwingstream.agent.parts import AgentParts
 from redwingstream.endpoints import parse_endpoint
@@ -8,63 +12,72 @@
 from redwingstream.tables.rows import ViewMember
 
 LOAD_INTERVAL = 0.3
-REPORTED_PEERS = 8
-"""How many peers hear a load report; in a larger pool they take turns."""
+"""Seconds between two load reports."""
+
+MAX_PEERS_PER_REPORT = 8
+"""Maximum count of peers that get one load report; in a larger pool the reports
+go to the peers in rotation."""
+
+FEED_REPORT_INTERVAL = 10.0
+"""Seconds between two reports of carried feeds to their homes."""
+
+FIRST_FEED_REPORT_INTERVAL = 2.0
+"""Seconds until the second report after a change of view.
 
-ASSERT_INTERVAL = 10.0
-FIRST_ASSERT_INTERVAL = 2.0
-"""After a change of view, which the new home may hear of later."""
+The new home may learn of the view after the first report has arrived.
+"""
 
-RECORDS_IN_MESSAGE = 64
-HOMES_INTERVAL = 0.5
+MAX_RECORDS_PER_MESSAGE = 64
+HOME_PROBE_INTERVAL = 0.5
+"""Seconds between two checks of the homes of which this agent is heir."""
 
 
-class Reports:
-    """Load reports, carried feeds and probes.
+class PeerReports:
+    """Sends load reports, reports of carried feeds, and probes.
 
     Parameters
     ----------
     parts : AgentParts
-        The agent.
+        State and decision objects of the agent.
     """
 
     def __init__(self, parts: AgentParts) -> None:
         self._parts = parts
-        self._load_at = float()
-        self._assert_at = float()
-        self._homes_at = float()
-        self._is_first_assert = True
-        self._turn = 0
+        self._load_report_at = float()
+        self._feed_report_at = float()
+        self._home_probe_at = float()
+        self._is_first_feed_report = True
+        self._next_peer_index = 0
 
-    def assert_soon(self) -> None:
-        """Tell the homes of the feeds carried here: the view changed."""
-        self._assert_at = float()
-        self._is_first_assert = True
+    def schedule_feed_report(self) -> None:
+        """Report carried feeds at the next tick, as the view changed."""
+        self._feed_report_at = float()
+        self._is_first_feed_report = True
 
     def tick(self, now: float) -> None:
-        """Send what is due."""
-        if now >= self._load_at:
-            self._load_at = now + LOAD_INTERVAL
+        """Send all messages that are due."""
+        if now >= self._load_report_at:
+            self._load_report_at = now + LOAD_INTERVAL
             self._report_load()
-        if now >= self._assert_at:
-            interval = ASSERT_INTERVAL
-            if self._is_first_assert:
-                interval = FIRST_ASSERT_INTERVAL
-            self._is_first_assert = False
-            self._assert_at = now + interval
+        if now >= self._feed_report_at:
+            interval = FEED_REPORT_INTERVAL
+            if self._is_first_feed_report:
+                interval = FIRST_FEED_REPORT_INTERVAL
+            self._is_first_feed_report = False
+            self._feed_report_at = now + interval
             self._report_feeds()
-        if now >= self._homes_at:
-            self._homes_at = now + HOMES_INTERVAL
-            self._await_homes(now)
+        if now >= self._home_probe_at:
+            self._home_probe_at = now + HOME_PROBE_INTERVAL
+            self._schedule_home_probes(now)
         revision = self._parts.tables.revision
         for peer in self._parts.links.due_probes(now):
             self._parts.out.to_peer(str(peer), Probe(revision))
 
-    def _await_homes(self, now: float) -> None:
-        """Expect a sign of life of the homes whose heir this agent is.
+    def _schedule_home_probes(self, now: float) -> None:
+        """Have the homes probed for whose buckets this agent is heir.
 
-        Otherwise the first packets that balancers turn to the heir would still
-        be passed on to the dead home.
+        Otherwise the first packets that balancers send to the heir would still
+        be forwarded to a dead home.
         """
         parts = self._parts
         homes = {
@@ -102,11 +115,11 @@
         others = [
             peer for peer in members if not self._parts.is_this_agent(peer)
         ]
-        if len(others) <= REPORTED_PEERS:
+        if len(others) <= MAX_PEERS_PER_REPORT:
             return others
-        start = self._turn % len(others)
-        self._turn += REPORTED_PEERS
-        return (others + others)[start : start + REPORTED_PEERS]
+        start = self._next_peer_index % len(others)
+        self._next_peer_index += MAX_PEERS_PER_REPORT
+        return (others + others)[start : start + MAX_PEERS_PER_REPORT]
 
     def _report_feeds(self) -> None:
         parts = self._parts
@@ -120,7 +133,7 @@
             self._send_feeds(endpoint, records)
 
     def _send_feeds(self, endpoint: str, records: list[FlowRecord]) -> None:
-        for start in range(0, len(records), RECORDS_IN_MESSAGE):
-            part = tuple(records[start : start + RECORDS_IN_MESSAGE])
+        for start in range(0, len(records), MAX_RECORDS_PER_MESSAGE):
+            part = tuple(records[start : start + MAX_RECORDS_PER_MESSAGE])
             message = CarriedFeeds(self._parts.identity.pool, part)
             self._parts.out.to_peer(endpoint, message)
--- a/redwingstream/agent/role.py
+++ b/redwingstream/agent/role.py
@@ -1,4 +1,4 @@
-"""The agent as a process: sockets and timers round its decisions."""
+"""The agent process: sockets and timers around the decision logic."""
 
 import asyncio
 import contextlib
@@ -24,6 +24,8 @@
 from redwingstream.tables.snapshot import Tables
 
 TICK = 0.02
+"""Seconds between two ticks of the decision logic."""
+
 _DRAIN_TICK = 0.1
 
 
@@ -33,7 +35,7 @@
     Parameters
     ----------
     settings : AgentSettings
-        Where it stands.
+        Settings of the process, with its addresses, zone and pool.
     key : bytes
         Key of all frames and of the bucket hash.
     """
@@ -54,10 +56,10 @@
 
     @contextlib.asynccontextmanager
     async def opened(self) -> AsyncIterator[None]:
-        """Serve for as long as the block lasts."""
+        """Serve while the context is open."""
         async with self._node.opened():
             with open_server_sockets(
-                self._settings.server, self._on_server, self._on_refused
+                self._settings.server, self._on_server_packet, self._on_refused
             ) as sockets:
                 self._sockets = sockets
                 ticking = asyncio.create_task(self._tick())
@@ -68,7 +70,10 @@
                     ticking.cancel()
 
     async def drain(self) -> None:
-        """Leave: no new work, running requests finish, feeds move away."""
+        """Leave the pool: accept no new work, finish requests, move feeds.
+
+        What has not finished after ``drain_seconds`` is ended.
+        """
         logging.info('agent: %s drains.', self._settings.host)
         self._node.announcer.leaving = True
         self._runner.leave()
@@ -77,7 +82,7 @@
             if self._runner.has_left(self._tables()):
                 break
             await asyncio.sleep(_DRAIN_TICK)
-        self._runner.give_up(self._node.now)
+        self._runner.end_unfinished(self._node.now)
         logging.info('agent: %s has drained.', self._settings.host)
 
     def to_peer(self, endpoint: str, payload: object) -> None:
@@ -99,7 +104,7 @@
         self._node.follower.hear(revision, parse_endpoint(endpoint))
 
     def _connect(self) -> None:
-        self._node.follower.on_tables = self._adopt
+        self._node.follower.on_tables = self._apply_tables
         self._node.vitals = self._runner.vitals
         self._node.state = self._runner.state
         for message_class in AGENT_MESSAGES:
@@ -110,7 +115,7 @@
         follower = self._node.follower
         return follower.history.tables
 
-    def _adopt(self) -> None:
+    def _apply_tables(self) -> None:
         node = self._node
         incarnation = node.announcer.incarnation
         self._runner.apply_tables(self._tables(), incarnation, node.now)
@@ -122,21 +127,22 @@
         self._runner.record_heard(str(source))
         self._node.follower.hear(ack.revision, source)
 
-    def _on_server(self, packet: bytes, source: int) -> None:
+    def _on_server_packet(self, packet: bytes, source: int) -> None:
         self._runner.handle_server_packet(packet, source, self._node.now)
 
     def _on_refused(self) -> None:
         self._runner.handle_server_unreachable(self._node.now)
 
     async def _tick(self) -> None:
-        adopted = 0
+        applied_incarnation = 0
         while True:
             await asyncio.sleep(TICK)
             with survived('tick', self.metrics):
-                if self._node.announcer.incarnation != adopted:
-                    # Control's word may come after the tables that contain it.
-                    adopted = self._node.announcer.incarnation
-                    self._adopt()
+                if self._node.announcer.incarnation != applied_incarnation:
+                    # The admission may arrive after the tables that contain
+                    # it.
+                    applied_incarnation = self._node.announcer.incarnation
+                    self._apply_tables()
                 self._runner.tick(self._node.now)
 
 
--- a/redwingstream/agent/runner.py
+++ b/redwingstream/agent/runner.py
@@ -1,4 +1,8 @@
-"""The run of an agent that control has admitted, and its successors."""
+"""Keeps the core of an agent process up to date with its admitted run.
+
+A control instance may admit a process again under a newer incarnation.  The
+runner then replaces the core, which holds the state of one run.
+"""
 
 import random
 from typing import Any
@@ -6,11 +10,11 @@
 import attrs
 
 from redwingstream.agent.core import AgentCore
+from redwingstream.agent.factory import make_parts
 from redwingstream.agent.inbox import AgentMessage
-from redwingstream.agent.making import make_parts
 from redwingstream.agent.outputs import Outputs
 from redwingstream.agent.parts import AgentIdentity, ServerCapacity
-from redwingstream.agent.status import state_of
+from redwingstream.agent.status import agent_state
 from redwingstream.endpoints import parse_endpoint
 from redwingstream.membership.announcer import Vitals
 from redwingstream.node.metrics import Metrics
@@ -19,7 +23,7 @@
 
 @attrs.frozen
 class AgentSetup:
-    """Where an agent stands, whichever run of it.
+    """Settings of an agent that are the same for all its runs.
 
     Parameters
     ----------
@@ -28,7 +32,7 @@
     key : bytes
         Key of the bucket hash.
     capacity : ServerCapacity
-        What its server bears.
+        Maximum load of its backend server.
     """
 
     host: str
@@ -40,23 +44,23 @@
 
 
 class AgentRunner:
-    """Makes the core of each run that control admits, and hands it events.
+    """Creates the core of each admitted run and passes events to it.
 
     Parameters
     ----------
     setup : AgentSetup
-        Where the agent stands.
+        Settings of the agent.
     out : Outputs
-        What it can do.
+        Sends frames and packets of the agent.
     metrics : Metrics
-        What it counts.
+        Counters of the agent.
     rng : random.Random
-        Where tokens, delays and choices are drawn from.
+        Random source of tokens, delays and choices.
 
     Attributes
     ----------
     core : AgentCore or None
-        Of the present run; None before the first one is admitted.
+        Core of the current run; None before the first run is admitted.
     """
 
     def __init__(
@@ -77,73 +81,73 @@
     def apply_tables(
         self, tables: Tables, incarnation: int, now: float
     ) -> None:
-        """Go by newer tables, or by a newer incarnation.
+        """Apply newer tables, or a newer incarnation of this process.
 
         Parameters
         ----------
         tables : Tables
-            The newest.
+            Newest tables.
         incarnation : int
-            What control admitted last.
+            Incarnation that was admitted last.
         now : float
-            Seconds.
+            Current time in seconds, by the event loop's clock.
 
         Notes
         -----
         A process that was frozen or cut off for longer than its lease is
-        admitted anew.  What the former run held is not valid any more, and a
-        core that kept its incarnation would be home of nothing for ever.
+        admitted again.  The state of the former run is no longer valid, and a
+        core that kept the former incarnation would never be home of a bucket.
         """
         self._revision = tables.revision
         member = tables.member_by_host.get(self._setup.host)
         is_admitted = member is not None and member.incarnation == incarnation
-        if is_admitted and not self._is_run(incarnation):
-            self._start(tables, incarnation, now)
+        if is_admitted and not self._is_current_run(incarnation):
+            self._start_run(tables, incarnation, now)
         if self.core is not None:
             self.core.apply_tables(tables, now)
 
     def handle_frame(
         self, message: AgentMessage, source: str, now: float
     ) -> None:
-        """Take a frame of another process."""
+        """Handle a frame of another process."""
         if self.core is None:
             self._metrics.count('frame_before_admission')
             return
         self.core.handle_message(message, source, now)
 
     def record_heard(self, source: str) -> None:
-        """Note a sign of life of another process."""
+        """Record that another process has been heard from."""
         if self.core is not None:
             self.core.parts.links.heard(parse_endpoint(source))
 
     def handle_server_packet(
         self, packet: bytes, source: int, now: float
     ) -> None:
-        """Take a packet of the backend server."""
+        """Handle a packet of the backend server."""
         if self.core is not None:
             self.core.handle_server_packet(packet, source, now)
 
     def handle_server_unreachable(self, now: float) -> None:
-        """Take the hint that nobody listens at the server's address."""
+        """Handle the report that no process listens at the server's address."""
         if self.core is not None:
             self.core.handle_server_unreachable(now)
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Do the periodic work of the core."""
         if self.core is not None:
             self.core.tick(now)
 
     def leave(self) -> None:
-        """Take no new work any more, in later runs neither."""
+        """Accept no new work, in this run and in later ones."""
         self._is_leaving = True
         if self.core is not None:
             self.core.leave()
 
     def has_left(self, tables: Tables) -> bool:
-        """Whether nothing is left here that a stop would cut.
+        """Whether the process can stop without interrupting anything.
 
-        The buckets must have gone too: until the newest view is settled, a new
-        home may still ask this agent for its records.
+        The buckets must have been handed over too: until the newest view is
+        settled, a new home may still request the records of this agent.
         """
         if self.core is None:
             return True
@@ -155,36 +159,36 @@
         is_in_view = any(map(self.core.parts.is_this_agent, view.members))
         return not is_in_view and not view.unsettled
 
-    def give_up(self, now: float) -> None:
-        """End what has not finished: the time to leave is up."""
+    def end_unfinished(self, now: float) -> None:
+        """End all unfinished work, as the drain time has passed."""
         if self.core is not None:
             self.core.end_unfinished(now)
 
     def vitals(self) -> Vitals:
-        """Return what the heartbeat says of this agent."""
+        """Return the figures of this agent for the heartbeat."""
         if self.core is None:
             return Vitals(revision=self._revision)
         return self.core.vitals()
 
     def state(self) -> dict[str, Any]:
-        """Return the state for a dump."""
+        """Return the state of this agent for a dump."""
         if self.core is None:
             return {'admitted': False}
-        return state_of(self.core.parts)
+        return agent_state(self.core.parts)
 
-    def _is_run(self, incarnation: int) -> bool:
+    def _is_current_run(self, incarnation: int) -> bool:
         if self.core is None:
             return False
         return self.core.parts.identity.incarnation == incarnation
 
-    def _start(self, tables: Tables, incarnation: int, now: float) -> None:
+    def _start_run(self, tables: Tables, incarnation: int, now: float) -> None:
         setup = self._setup
         pool = tables.pool_by_name.get(setup.pool)
         if pool is None:
             return
         if self.core is not None:
             self.core.retire(now)
-        me = AgentIdentity(
+        identity = AgentIdentity(
             host=setup.host,
             incarnation=incarnation,
             endpoint=setup.endpoint,
@@ -194,7 +198,7 @@
             key=setup.key,
         )
         parts = make_parts(
-            me, setup.capacity, self._out, self._metrics, self._rng
+            identity, setup.capacity, self._out, self._metrics, self._rng
         )
         self.core = AgentCore(parts)
         if self._is_leaving:
--- a/redwingstream/agent/server_effects.py
+++ b/redwingstream/agent/server_effects.py
@@ -1,4 +1,8 @@
-"""Carries out what the server's side of an agent asks for."""
+"""Performs the effects of the server's side of an agent.
+
+The server's side (:class:`~redwingstream.flows.upstream.Upstream`) decides on
+the exchanges with the backend server without I/O and returns effects.
+"""
 
 from redwingstream.agent.carrier import RequestExecutor
 from redwingstream.agent.feeds import FeedRelay
@@ -16,19 +20,19 @@
 
 
 class ServerEffectHandler:
-    """Hands each effect to who it concerns.
+    """Passes each effect to the object that handles it.
 
     Parameters
     ----------
     parts : AgentParts
-        The agent.
+        State and decision objects of the agent.
 
     Attributes
     ----------
-    carrier : Carrier
-        Requests; set by the core.
+    executor : RequestExecutor
+        Handles requests; set by the assembly.
     feeds : FeedRelay
-        Feeds; set by the core.
+        Handles feeds; set by the assembly.
     """
 
     executor: RequestExecutor
@@ -38,7 +42,7 @@
         self._parts = parts
 
     def perform(self, effects: list[UpstreamEffect], now: float) -> None:
-        """Carry out effects in their order."""
+        """Perform effects in their order."""
         for effect in effects:
             self._perform_one(effect, now)
 
@@ -48,32 +52,38 @@
                 self._parts.out.to_server(packet, source)
             case Responded(owner, response):
                 self.executor.handle_response(owner, response, now)
-            case Failed(owner, state, why):
-                self.executor.handle_failure(owner, state, why, now)
+            case Failed(owner, state, reason):
+                self.executor.handle_failure(owner, state, reason, now)
             case FeedUpdate(owner, notification):
-                self.feeds.updated(owner, notification, now)
-            case FeedEnded(owner, why, response):
-                self.feeds.ended(owner, why, response, now)
+                self.feeds.handle_notification(owner, notification, now)
+            case FeedEnded(owner, reason, response):
+                self.feeds.handle_end(owner, reason, response, now)
             case ServerRestarted():
-                self._restarted(now)
+                self._handle_restart(now)
             case ServerSilent(source, probe_answered):
-                self._silent(source, now, is_link=probe_answered)
+                self._handle_silence(
+                    source, now, is_socket_fault=probe_answered
+                )
 
-    def _restarted(self, now: float) -> None:
+    def _handle_restart(self, now: float) -> None:
         self._parts.metrics.count('server_restarted')
         self._parts.limit.server_restarted(now)
         self.feeds.openings.handle_server_restart(now)
 
-    def _silent(self, source: int, now: float, *, is_link: bool) -> None:
-        """Replace a silent link; place new work elsewhere if it is the server.
+    def _handle_silence(
+        self, source: int, now: float, *, is_socket_fault: bool
+    ) -> None:
+        """Replace a silent socket, or mark the server as silent.
+
+        While the server is silent, new work is placed at other agents.
 
         Notes
         -----
-        Something between both ends can lose track of an open socket: requests
-        on it go unanswered while the server is well.  The probe from a fresh
-        socket tells the two cases apart.
+        Something between both ends can lose the state of an open socket, so
+        that requests on it get no answer although the server works.  A probe
+        from a fresh socket distinguishes the two cases.
         """
-        if not is_link:
+        if not is_socket_fault:
             self._parts.metrics.count('server_silent')
             self._parts.server_is_silent = True
             return
--- a/redwingstream/agent/server_sockets.py
+++ b/redwingstream/agent/server_sockets.py
@@ -1,4 +1,4 @@
-"""The sockets of an agent to its backend server."""
+"""UDP sockets between an agent and its backend server."""
 
 import asyncio
 import contextlib
@@ -20,16 +20,16 @@
     Parameters
     ----------
     server : Endpoint
-        Where the backend server takes CoAP.
+        Address at which the backend server receives CoAP.
     on_packet : callable
-        Takes each packet and the number of its socket.
+        Called with each received packet and the source number of its socket.
     on_refused : callable
-        Called when the host says that nobody listens there.
+        Called when the host reports that no process listens there.
 
     Notes
     -----
-    Connected sockets take packets of the server only, and learn from ICMP when
-    its process is gone.
+    Connected sockets receive packets of the server only, and report an error
+    when ICMP says that the server process is gone.
     """
 
     def __init__(
@@ -41,25 +41,28 @@
         self._socket_by_source: dict[int, socket.socket] = {}
 
     def send(self, packet: bytes, source: int) -> None:
-        """Send from a socket; a fresh one for ``FRESH_SOURCE``."""
+        """Send a packet from the socket with a source number.
+
+        For ``FRESH_SOURCE`` a new socket is opened.
+        """
         if source == FRESH_SOURCE:
             self.replace(source)
         sock = self._socket_by_source.get(source) or self.replace(source)
         try:
             sock.send(packet)
         except ConnectionRefusedError:
-            # The error is that of an earlier packet, and this one has not
-            # been sent: without a second call a request would be lost that
-            # the server, back again, could have run.
+            # The error belongs to an earlier packet, and this packet has not
+            # been sent.  Without a second call a request would be lost even
+            # if the server runs again.
             with contextlib.suppress(OSError):
                 sock.send(packet)
             self._on_refused()
         except OSError:
-            # Like any other datagram that is lost; the exchange repeats it.
+            # Treated as a lost datagram; the exchange repeats it.
             return
 
     def replace(self, source: int) -> socket.socket:
-        """Open a socket anew."""
+        """Close the socket with a source number, if any, and open a new one."""
         self._close(source)
         family = socket.AF_INET6 if ':' in self._server.host else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_DGRAM)
@@ -99,7 +102,7 @@
 def open_server_sockets(
     server: Endpoint, on_packet: OnPacket, on_refused: OnRefused
 ) -> Iterator[ServerSockets]:
-    """Yield the sockets to a server and close them at the end."""
+    """Yield the sockets to a server and close them on exit."""
     sockets = ServerSockets(server, on_packet, on_refused)
     try:
         yield sockets
--- a/redwingstream/agent/status.py
+++ b/redwingstream/agent/status.py
@@ -1,4 +1,4 @@
-"""The state of an agent as its dump shows it."""
+"""The state of an agent as shown in its dump."""
 
 from typing import Any
 
@@ -7,8 +7,8 @@
 from redwingstream.agent.parts import AgentParts
 
 
-def state_of(parts: AgentParts) -> dict[str, Any]:
-    """Return the state of an agent, for JSON."""
+def agent_state(parts: AgentParts) -> dict[str, Any]:
+    """Return the state of an agent as a dictionary for JSON."""
     keeper = parts.keeper
     return {
         'admitted': True,
--- a/redwingstream/agent/tests/fake_caller.py
+++ b/redwingstream/agent/tests/fake_caller.py
@@ -1,4 +1,4 @@
-"""A fake caller: repeats, acknowledges, checks freshness and answers."""
+"""A fake caller that repeats requests, acknowledges, and checks answers."""
 
 import random
 
@@ -9,12 +9,12 @@
 from redwingstream.flows.observe import is_newer
 from redwingstream.wire import coap
 
-FIRST_REPEAT = 2.0
+FIRST_REPEAT_SECONDS = 2.0
 COPIES = 5
 ANSWER_PREFIX = b'done:'
 BLOCK_SIZE = 6
-FABRIC_NOTICES = 3.0
-"""Seconds in which the fabric still sprays packets to a dead balancer."""
+FABRIC_DETECTION_SECONDS = 3.0
+"""Seconds until the fabric stops sending packets to a dead balancer."""
 
 
 @attrs.frozen
@@ -28,18 +28,22 @@
 
 @attrs.define(eq=False)
 class SentRequest:
-    """A request of the caller and what came of it.
+    """A request of the caller and its outcome.
 
     Parameters
     ----------
     body : bytes
-        Its payload; an answer must echo it.
+        Payload of the request; an answer must echo it.
     packet : bytes
-        What is repeated.
+        Encoded request, as sent and repeated.
+    message_id : int
+        Message id of the request.
+    token : bytes
+        Token of the request.
     answer : Message or None
-        The final answer.
+        Final answer; None while there is none.
     answered_at : float
-        When it came, in seconds.
+        Time of the answer in seconds, by the clock of the exchange.
     """
 
     body: bytes
@@ -51,7 +55,7 @@
 
     @property
     def outcome(self) -> str:
-        """What the caller was told."""
+        """Outcome as reported to the caller."""
         if self.answer is None:
             return 'none'
         names = {
@@ -62,15 +66,19 @@
 
 
 @attrs.define(eq=False)
-class Watched:
+class WatchedFeed:
     """A feed of the caller.
 
     Parameters
     ----------
+    request : SentRequest
+        Registration of the feed.
+    observe : int or None
+        Highest Observe number received.
     seen_at : list of float
-        When fresh notifications came, in seconds.
+        Times of fresh notifications, in seconds.
     ended : bool
-        Whether a final answer has ended it.
+        Whether a final answer has ended the feed.
     """
 
     request: SentRequest
@@ -79,7 +87,7 @@
     ended: bool = False
 
     def longest_gap(self, until: float) -> float:
-        """Return the longest time without a fresh notification."""
+        """Return the longest time in seconds without a fresh notification."""
         times = [*self.seen_at, until]
         return max(
             (later - earlier for earlier, later in zip(times, times[1:])),
@@ -88,16 +96,16 @@
 
 
 class FakeCaller:
-    """One caller's address, with any number of requests and feeds.
+    """A caller with one address and any number of requests and feeds.
 
     Parameters
     ----------
     exchange : Exchange
-        Where it stands.
+        Network that it sends through.
     address, service : str
-        ``IP:PORT`` of both ends.
+        ``IP:PORT`` of the caller and of the service that it calls.
     balancers : tuple of str
-        The fabric sprays over these.
+        Endpoints over which the fabric distributes packets.
     """
 
     def __init__(
@@ -109,11 +117,11 @@
     ) -> None:
         self.address = address
         self.wrong_answers = 0
-        self.watched_by_token: dict[bytes, Watched] = {}
-        self._asked_by_token: dict[bytes, SentRequest] = {}
+        self.watched_by_token: dict[bytes, WatchedFeed] = {}
+        self._request_by_token: dict[bytes, SentRequest] = {}
         self._service = service
         self.balancers = balancers
-        self._gone_at: dict[str, float] = {}
+        self._missing_at: dict[str, float] = {}
         self._exchange = exchange
         self._rng = random.Random(address)
         self._message_id = self._rng.randrange(coap.MESSAGE_ID_LIMIT)
@@ -128,30 +136,30 @@
         return self._ask(Message(code=coap.GET, payload=body), deadline)
 
     def get_block(self, body: bytes, number: int) -> SentRequest:
-        """Ask for one block of an answer."""
+        """Request one block of an answer."""
         request = Message(code=coap.GET, payload=body)
         request.opt.block2 = (number, False, BLOCK_SIZE)
         return self._ask(request)
 
-    def watch(self) -> Watched:
+    def watch(self) -> WatchedFeed:
         """Register a feed."""
         request = Message(code=coap.GET)
         request.opt.observe = coap.OBSERVE_REGISTER
-        asked = self._ask(request)
-        watched = Watched(asked)
-        self.watched_by_token[asked.token] = watched
+        sent = self._ask(request)
+        watched = WatchedFeed(sent)
+        self.watched_by_token[sent.token] = watched
         return watched
 
     def receive(self, frame: Frame, now: float) -> None:
-        """Take a packet of the system."""
+        """Handle a packet from a balancer."""
         message = coap.decode(frame.payload.payload)
         if message.code is coap.EMPTY:
             return
         watched = self.watched_by_token.get(message.token)
         if watched is None:
-            self._answered(message, now)
+            self._handle_answer(message, now)
         else:
-            self._notified(watched, message, now)
+            self._handle_notification(watched, message, now)
         if message.mtype is coap.CON:
             self.send(coap.encode(coap.empty(coap.ACK, message.mid)))
 
@@ -159,33 +167,33 @@
         """Do nothing: repeats are timed by the exchange."""
 
     def send(self, payload: bytes) -> None:
-        """Send a packet through some balancer."""
-        balancer = self._rng.choice(self._fabric())
+        """Send a packet through a random balancer."""
+        balancer = self._rng.choice(self._fabric_targets())
         packet = CallerPacket(self.address, self._service, payload)
         self._exchange.send(self.address, balancer, packet)
 
-    def reuse_identifiers(self, asked: SentRequest, body: bytes) -> SentRequest:
-        """Use message id and token of a request for another one."""
-        message = coap.decode(asked.packet)
+    def reuse_identifiers(self, sent: SentRequest, body: bytes) -> SentRequest:
+        """Send a request with the message id and token of an earlier one."""
+        message = coap.decode(sent.packet)
         message.payload = body
         again = SentRequest(
-            body, coap.encode(message), asked.message_id, asked.token
+            body, coap.encode(message), sent.message_id, sent.token
         )
-        self._asked_by_token[asked.token] = again
-        self._transmit(again, COPIES, FIRST_REPEAT)
+        self._request_by_token[sent.token] = again
+        self._transmit(again, COPIES, FIRST_REPEAT_SECONDS)
         return again
 
-    def _fabric(self) -> tuple[str, ...]:
-        """Return the balancers that the fabric has not found dead yet."""
+    def _fabric_targets(self) -> tuple[str, ...]:
+        """Return the balancers that the fabric does not yet consider dead."""
         living = self._exchange.process_by_address
         for balancer in self.balancers:
             if balancer not in living:
-                self._gone_at.setdefault(balancer, self._exchange.now)
-        noticed_before = self._exchange.now - FABRIC_NOTICES
+                self._missing_at.setdefault(balancer, self._exchange.now)
+        detection_limit = self._exchange.now - FABRIC_DETECTION_SECONDS
         return tuple(
             each
             for each in self.balancers
-            if each in living or self._gone_at[each] > noticed_before
+            if each in living or self._missing_at[each] > detection_limit
         )
 
     def _ask(
@@ -198,33 +206,35 @@
         if deadline is not None:
             coap.set_deadline(request, deadline)
         packet = coap.encode(request)
-        asked = SentRequest(request.payload, packet, request.mid, request.token)
-        self._asked_by_token[asked.token] = asked
-        self._transmit(asked, COPIES, FIRST_REPEAT)
-        return asked
+        sent = SentRequest(request.payload, packet, request.mid, request.token)
+        self._request_by_token[sent.token] = sent
+        self._transmit(sent, COPIES, FIRST_REPEAT_SECONDS)
+        return sent
 
-    def _transmit(self, asked: SentRequest, copies: int, wait: float) -> None:
-        if not copies or asked.answer is not None:
+    def _transmit(self, sent: SentRequest, copies: int, wait: float) -> None:
+        if not copies or sent.answer is not None:
             return
-        self.send(asked.packet)
+        self.send(sent.packet)
         self._exchange.call_later(
-            wait, lambda: self._transmit(asked, copies - 1, 2 * wait)
+            wait, lambda: self._transmit(sent, copies - 1, 2 * wait)
         )
 
-    def _answered(self, message: Message, now: float) -> None:
-        asked = self._asked_by_token.get(message.token)
-        if asked is None:
+    def _handle_answer(self, message: Message, now: float) -> None:
+        sent = self._request_by_token.get(message.token)
+        if sent is None:
             self.wrong_answers += 1
             return
         if message.code.is_successful():
-            if message.payload != ANSWER_PREFIX + asked.body:
+            if message.payload != ANSWER_PREFIX + sent.body:
                 self.wrong_answers += 1
                 return
-        if asked.answer is None:
-            asked.answer = message
-            asked.answered_at = now
+        if sent.answer is None:
+            sent.answer = message
+            sent.answered_at = now
 
-    def _notified(self, watched: Watched, message: Message, now: float) -> None:
+    def _handle_notification(
+        self, watched: WatchedFeed, message: Message, now: float
+    ) -> None:
         watched.request.answer = message
         number = message.opt.observe
         if number is None:
--- a/redwingstream/agent/tests/faults.py
+++ b/redwingstream/agent/tests/faults.py
@@ -1,4 +1,4 @@
-"""The faults of the matrix; each happens to the first frame of a step."""
+"""Faults of the fault matrix, injected at the first frame of a step."""
 
 from collections.abc import Callable
 from types import MappingProxyType
@@ -7,21 +7,25 @@
 from redwingstream.agent.tests.fake_server import FakeServer
 from redwingstream.agent.tests.pool import Agent, FakePool
 
-FAULT_TIME = 5.0
+FAULT_SECONDS = 5.0
 DELAY = 1.5
-OVERTAKEN = 0.03
+REORDER_DELAY = 0.03
 RESTART_TIME = 0.5
-BETWEEN_CHANGES = 0.05
+CHANGE_INTERVAL = 0.05
 PAIR_LOST = 'pair lost'
 
-Effect = Callable[[FakePool, Frame], 'tuple[float, ...] | None']
+Fault = Callable[[FakePool, Frame], 'tuple[float, ...] | None']
+"""Injects a fault at a frame; returns a delay for each copy of the frame.
+
+None leaves the frame as it is.
+"""
 
 
 def _kill(pool: FakePool, frame: Frame) -> None:
-    _end(pool, frame.target)
+    _kill_address(pool, frame.target)
 
 
-def _end(pool: FakePool, address: str) -> None:
+def _kill_address(pool: FakePool, address: str) -> None:
     process = pool.exchange.process_by_address.get(address)
     if isinstance(process, FakeServer):
         process.restart()
@@ -46,14 +50,14 @@
 def _freeze(pool: FakePool, frame: Frame) -> None:
     pool.exchange.frozen.add(frame.target)
     pool.exchange.call_later(
-        FAULT_TIME, lambda: pool.exchange.thaw(frame.target)
+        FAULT_SECONDS, lambda: pool.exchange.thaw(frame.target)
     )
 
 
 def _cut(pool: FakePool, *pairs: tuple[str, str]) -> None:
     pool.exchange.cuts.update(pairs)
     pool.exchange.call_later(
-        FAULT_TIME, lambda: pool.exchange.cuts.difference_update(pairs)
+        FAULT_SECONDS, lambda: pool.exchange.cuts.difference_update(pairs)
     )
 
 
@@ -81,7 +85,7 @@
 
 
 def _reorder(pool: FakePool, frame: Frame) -> tuple[float, ...]:
-    return (OVERTAKEN,)
+    return (REORDER_DELAY,)
 
 
 def _lose(pool: FakePool, frame: Frame) -> tuple[float, ...]:
@@ -102,13 +106,13 @@
     home, heir = pool.pair(pool.callers[0])
     pool.control.mark_draining(home)
     endpoint = pool.endpoint_by_host[heir]
-    pool.exchange.call_later(BETWEEN_CHANGES, lambda: pool.kill(endpoint))
+    pool.exchange.call_later(CHANGE_INTERVAL, lambda: pool.kill(endpoint))
 
 
-FAULT_BY_NAME: MappingProxyType[str, Effect] = MappingProxyType(
+FAULT_BY_NAME: MappingProxyType[str, Fault] = MappingProxyType(
     {
         'kill': _kill,
-        'kill sender': lambda pool, frame: _end(pool, frame.source),
+        'kill sender': lambda pool, frame: _kill_address(pool, frame.source),
         'restart': _restart,
         'freeze': _freeze,
         'cut one way': _cut_one_way,
--- a/redwingstream/agent/tests/matrix.py
+++ b/redwingstream/agent/tests/matrix.py
@@ -1,7 +1,8 @@
 """The fault matrix: every fault at every step of the protocol.
 
-A cell runs one scenario until the first frame of its step is sent, does its
-fault there, and goes on until all requests have an outcome and the feed lives.
+A cell runs one scenario until the first frame of its step is sent, injects its
+fault there, and continues until all requests have an outcome and the feed is
+fresh.
 """
 
 import functools
@@ -12,68 +13,71 @@
 
 from redwingstream.agent.tests.exchange import Frame
 from redwingstream.agent.tests.fake_caller import (
-    SentRequest,
     FakeCaller,
-    Watched,
+    SentRequest,
+    WatchedFeed,
 )
 from redwingstream.agent.tests.faults import FAULT_BY_NAME, PAIR_LOST
 from redwingstream.agent.tests.pool import FakePool
 from redwingstream.agent.tests.steps import BODY, STEPS, Step
 from redwingstream.agent.tests.support import warm_up
 
-PATIENCE = 80
+CELL_TIMEOUT = 80
 """Seconds after which a cell ends in any case."""
 
-SETTLED_FOR = 6
-"""Seconds that a cell goes on once every request has its outcome."""
+SETTLED_SECONDS = 6
+"""Seconds that a cell continues after every request has its outcome."""
 
-FRESH_WITHIN = 3.0
+FRESHNESS_SECONDS = 3.0
 POST_TIMES = (0, 0.04, 0.1, 0.5, 1, 2, 4)
-"""When the caller makes its requests, in seconds after the scenario begins."""
+"""Times of the caller's requests, in seconds after the scenario begins."""
 
 _FILLING_TIME = 0.8
 
 
 @attrs.define(eq=False)
 class Cell:
-    """One run: a step and a fault."""
+    """One run of a scenario, with a fault at a step."""
 
     step: Step
     fault: str
     pool: FakePool = attrs.field(init=False)
-    asked: list[SentRequest] = attrs.Factory(list)
-    watched: Watched | None = None
+    requests: list[SentRequest] = attrs.Factory(list)
+    watched: WatchedFeed | None = None
     caller: FakeCaller | None = None
-    happened_at: float | None = None
+    fault_at: float | None = None
     is_carrier_lost: bool = False
 
     def run(self) -> 'CellResult':
-        """Run the cell and return what came of it."""
+        """Run the cell and return its result."""
         self._prepare()
         self.pool.exchange.inspect = self._inspect
-        self._act()
+        self._run_scenario()
         self._wait()
-        return CellResult.of(self)
+        return CellResult.from_cell(self)
 
     def is_fresh(self) -> bool:
-        """Whether the feed goes on, or has ended."""
+        """Whether the feed got a recent notification, or has ended."""
         seen_at = self.watched.seen_at
         if self.watched.ended:
             return True
         now = self.pool.exchange.now
-        return bool(seen_at) and now - seen_at[-1] < FRESH_WITHIN
+        return bool(seen_at) and now - seen_at[-1] < FRESHNESS_SECONDS
 
-    def excused_feed(self) -> str:
-        """Return why the feed need not go on, if it does not."""
+    def feed_exemption(self) -> str:
+        """Return why the feed may have stopped; empty if it must continue.
+
+        The values are ``refused`` and ``lost``.
+        """
         watched = self.watched
         if not watched.seen_at and watched.ended:
             return 'refused'
         is_silent = not self.is_fresh()
         return 'lost' if is_silent and self.is_carrier_lost else ''
 
-    def broken_feed(self) -> list[str]:
-        """Return what is wrong with the feed."""
-        if self.excused_feed():
+    def feed_violations(self) -> list[str]:
+        """Return the guarantees for the feed that are broken."""
+        if self.feed_exemption():
             return []
         if self.watched.ended:
             return ['the feed was ended']
@@ -91,7 +95,7 @@
             pool.run(2)
 
     def _choose_caller(self) -> FakeCaller:
-        """Return a caller whose bucket the last host gets when it joins."""
+        """Return a caller whose home is the last host once all agents serve."""
         pool = self.pool
         numbers = itertools.count(1)
         caller = pool.caller(next(numbers))
@@ -100,7 +104,7 @@
         pool.callers.insert(0, caller)
         return caller
 
-    def _act(self) -> None:
+    def _run_scenario(self) -> None:
         pool = self.pool
         scenario = self.step.scenario
         if scenario == 'registration':
@@ -116,9 +120,9 @@
         pool.run(5)
 
     def _post(self) -> None:
-        number = len(self.asked)
+        number = len(self.requests)
         body = f'{BODY.decode()} {number}'.encode() if number else BODY
-        self.asked.append(self.caller.post(body))
+        self.requests.append(self.caller.post(body))
 
     def _fill_home(self) -> None:
         home = self.pool.pair(self.caller)[0]
@@ -130,13 +134,20 @@
 
     def _wait(self) -> None:
         pool = self.pool
-        settled = 0
-        while settled < SETTLED_FOR and pool.exchange.now < PATIENCE:
+        settled_seconds = 0
+        while (
+            settled_seconds < SETTLED_SECONDS
+            and pool.exchange.now < CELL_TIMEOUT
+        ):
             pool.run(1)
-            is_done = all(asked.answer is not None for asked in self.asked)
-            settled = settled + 1 if is_done and self.is_fresh() else 0
-
-    def _is_all_in_pair(self) -> bool:
+            is_done = all(
+                request.answer is not None for request in self.requests
+            )
+            settled_seconds = (
+                settled_seconds + 1 if is_done and self.is_fresh() else 0
+            )
+
+    def _is_carried_by_pair(self) -> bool:
         """Whether home and heir of the feed's bucket carry it alone."""
         pair = self.pool.pair(self.caller)
         others = set(self.pool.hosts) - set(pair)
@@ -145,81 +156,85 @@
         )
 
     def _inspect(self, frame: Frame) -> tuple[float, ...] | None:
-        if self.happened_at is not None or not self.step.matches(frame):
+        if self.fault_at is not None or not self.step.matches(frame):
             return None
-        self.happened_at = self.pool.exchange.now
+        self.fault_at = self.pool.exchange.now
         self.is_carrier_lost = (
-            self.fault == PAIR_LOST and self._is_all_in_pair()
+            self.fault == PAIR_LOST and self._is_carried_by_pair()
         )
         return FAULT_BY_NAME[self.fault](self.pool, frame)
 
 
 @attrs.frozen
 class CellResult:
-    """What came of a cell.
+    """Result of a cell.
 
     Parameters
     ----------
-    happened : bool
-        Whether the step was met at all.
-    told : tuple of str
-        What the caller was told of each request.
+    step_reached : bool
+        Whether the step was reached.
+    outcomes : tuple of str
+        Outcome of each request as reported to the caller.
     violations : tuple of str
-        Promises broken; none are allowed.
+        Broken guarantees; none are allowed.
     gap : float
         Longest time in seconds without a fresh notification.
     feed : str
-        ``refused`` or ``lost`` where the feed does not go on and need not.
+        ``refused`` or ``lost`` if the feed has stopped and may; else empty.
     """
 
-    happened: bool
-    told: tuple[str, ...]
+    step_reached: bool
+    outcomes: tuple[str, ...]
     violations: tuple[str, ...]
     gap: float
     feed: str = ''
 
     @classmethod
-    def of(cls, cell: Cell) -> 'CellResult':
-        """Judge a cell that has run."""
-        broken = [each for asked in cell.asked for each in _broken(cell, asked)]
-        broken.extend(cell.broken_feed())
+    def from_cell(cls, cell: Cell) -> 'CellResult':
+        """Return the result of a cell that has run."""
+        broken = [
+            each
+            for request in cell.requests
+            for each in _request_violations(cell, request)
+        ]
+        broken.extend(cell.feed_violations())
         if cell.caller.wrong_answers:
             broken.append('an answer to another request')
-        falls = sum(
+        overloads = sum(
             server.overloads for server in cell.pool.server_by_host.values()
         )
-        if falls:
+        if overloads:
             broken.append('a server was above what it bears')
         return cls(
-            happened=cell.happened_at is not None,
-            told=tuple(asked.outcome for asked in cell.asked),
+            step_reached=cell.fault_at is not None,
+            outcomes=tuple(request.outcome for request in cell.requests),
             violations=tuple(broken),
             gap=cell.watched.longest_gap(cell.pool.exchange.now),
-            feed=cell.excused_feed(),
+            feed=cell.feed_exemption(),
         )
 
     def counts(self) -> Counter[str]:
-        """Return how many requests ended in which way."""
-        return Counter(self.told)
+        """Return the count of requests by outcome."""
+        return Counter(self.outcomes)
 
 
-def _broken(cell: Cell, asked: SentRequest) -> list[str]:
-    runs = cell.pool.runs(asked.body)
-    name = asked.body.decode()
+def _request_violations(cell: Cell, request: SentRequest) -> list[str]:
+    runs = cell.pool.runs(request.body)
+    name = request.body.decode()
     broken = []
     if runs > 1:
         broken.append(f'{name} ran {runs} times')
-    if asked.outcome == 'not run' and runs:
+    if request.outcome == 'not run' and runs:
         broken.append(f'{name} was told not run, and ran')
-    if asked.outcome == 'answered' and not runs:
+    if request.outcome == 'answered' and not runs:
         broken.append(f'{name} was answered, and never ran')
-    if asked.outcome == 'none':
+    if request.outcome == 'none':
         broken.append(f'{name} got no final answer')
     return broken
 
 
 @functools.cache
 def run_cell(step_name: str, fault: str) -> CellResult:
-    """Run a cell, once in a process."""
+    """Run a cell; later calls in the process return the same result."""
     step = next(each for each in STEPS if each.name == step_name)
     return Cell(step, fault).run()
--- a/redwingstream/agent/tests/matrix_page.py
+++ b/redwingstream/agent/tests/matrix_page.py
@@ -1,4 +1,4 @@
-"""Writes docs/fault-matrix.md from the cells."""
+"""Writes docs/fault-matrix.md from the results of the cells."""
 
 import pathlib
 from collections import Counter
@@ -40,13 +40,13 @@
         '|{0}'.format(' --- |' * (len(steps) + 1)),
     ]
     for fault in faults:
-        cells = [_told(run_cell(step, fault)) for step in steps]
+        cells = [_render_cell(run_cell(step, fault)) for step in steps]
         lines.append('| {0} | {1} |'.format(fault, ' | '.join(cells)))
     table = '\n'.join(lines)
     return f'{_INTRODUCTION}{table}\n\n{_summary(steps, faults)}\n'
 
 
-def _told(cell: CellResult) -> str:
+def _render_cell(cell: CellResult) -> str:
     counts = cell.counts()
     parts = [
         f'{counts[outcome]}{outcome[0]}'
--- a/redwingstream/agent/tests/soak.py
+++ b/redwingstream/agent/tests/soak.py
@@ -7,9 +7,9 @@
 
 from redwingstream.agent.tests.exchange import Frame
 from redwingstream.agent.tests.fake_caller import (
-    SentRequest,
     FakeCaller,
-    Watched,
+    SentRequest,
+    WatchedFeed,
 )
 from redwingstream.agent.tests.fake_server import ServerPacket
 from redwingstream.agent.tests.pool import CONTROL, FakePool
@@ -20,12 +20,12 @@
 ROUNDS = 24
 LOSS = 0.01
 REPEATED = 0.01
-LATE = 0.02
+DELAYED = 0.02
 LONGEST_DELAY = 0.4
 SHORTEST_FAULT = 0.3
 LONGEST_FAULT = 6.0
-CALM = 75
-"""Seconds after the last fault in which callers repeat what has no answer."""
+RECOVERY_SECONDS = 75
+"""Seconds after the last fault in which callers repeat unanswered requests."""
 
 
 @attrs.define(eq=False)
@@ -35,19 +35,19 @@
     Parameters
     ----------
     seed : int
-        Everything random is drawn from it.
+        Seed of all random choices.
     faults_at_once : int
-        How many agents may be at fault at the same time.
+        Maximum count of agents with a fault at the same time.
     """
 
     seed: int
     faults_at_once: int
     pool: FakePool = attrs.field(init=False)
-    asked: list[SentRequest] = attrs.Factory(list)
-    watched: list[Watched] = attrs.Factory(list)
+    requests: list[SentRequest] = attrs.Factory(list)
+    watched: list[WatchedFeed] = attrs.Factory(list)
     callers: list[FakeCaller] = attrs.Factory(list)
     _faulty: set[str] = attrs.Factory(set)
-    _balancer_at: float = 0
+    _next_balancer_at: float = 0
     _rng: random.Random = attrs.field(init=False)
 
     def run(self) -> None:
@@ -63,50 +63,52 @@
         for _ in range(ROUNDS):
             self._round()
         self.pool.exchange.inspect = None
-        self.pool.run(CALM)
+        self.pool.run(RECOVERY_SECONDS)
 
-    def broken(self) -> list[str]:
-        """Return the promises to requests that were broken."""
+    def violations(self) -> list[str]:
+        """Return the guarantees for requests that are broken."""
         found = []
-        for asked in self.asked:
-            runs = self.pool.runs(asked.body)
-            told = (asked.outcome, runs)
-            is_true = told in {
+        for request in self.requests:
+            runs = self.pool.runs(request.body)
+            outcome_and_runs = (request.outcome, runs)
+            is_allowed = outcome_and_runs in {
                 ('answered', 1),
                 ('not run', 0),
                 ('unknown', 0),
                 ('unknown', 1),
             }
-            if not is_true:
-                found.append(f'{asked.body!r}: {asked.outcome}, {runs} runs')
+            if not is_allowed:
+                found.append(
+                    f'{request.body!r}: {request.outcome}, {runs} runs'
+                )
         wrong = sum(caller.wrong_answers for caller in self.callers)
         if wrong:
             found.append(f'{wrong} answers to other requests')
         return found
 
     def silent_feeds(self) -> int:
-        """Return how many feeds do not go on."""
+        """Return the count of feeds that have stopped."""
         now = self.pool.exchange.now
         return sum(
             watched.ended or now - watched.seen_at[-1] > 3
             for watched in self.watched
         )
 
-    def told(self) -> Counter[str]:
-        """Return how many requests ended in which way."""
-        return Counter(asked.outcome for asked in self.asked)
+    def count_outcomes(self) -> Counter[str]:
+        """Return the count of requests by outcome."""
+        return Counter(request.outcome for request in self.requests)
 
     def _round(self) -> None:
         rng = self._rng
         for caller in self.callers:
             if rng.random() < 1 / 2:
-                body = f'bay {len(self.asked)}'.encode()
-                self.asked.append(caller.post(body))
+                body = f'bay {len(self.requests)}'.encode()
+                self.requests.append(caller.post(body))
         if rng.random() < 1 / 2:
-            self._do_fault()
+            self._inject_fault()
         self.pool.run(rng.random() * 2)
 
-    def _do_fault(self) -> None:
+    def _inject_fault(self) -> None:
         rng = self._rng
         seconds = rng.uniform(SHORTEST_FAULT, LONGEST_FAULT)
         faults = [
@@ -127,10 +129,10 @@
 
     def _restart_balancer(self, seconds: float) -> None:
         now = self.pool.exchange.now
-        if now < self._balancer_at:
+        if now < self._next_balancer_at:
             return
-        # One after the other, as when all of them are replaced.
-        self._balancer_at = now + seconds + SHORTEST_FAULT
+        # One at a time, as in a rolling replacement.
+        self._next_balancer_at = now + seconds + SHORTEST_FAULT
         endpoint = self._rng.choice(self.pool.balancers)
         self.pool.kill(endpoint)
         self.pool.exchange.call_later(
@@ -200,7 +202,8 @@
             return None
         host = self._rng.choice(sorted(set(self.pool.hosts) - self._faulty))
         self._faulty.add(host)
-        # The next one comes when control has noticed and the view is settled.
+        # The host can get a fault again once control has noticed this one
+        # and the view is settled.
         healed_at = seconds + LONGEST_FAULT
         self.pool.exchange.call_later(
             healed_at, lambda: self._faulty.discard(host)
@@ -215,6 +218,6 @@
             return ()
         if drawn < LOSS + REPEATED:
             return (0, self._rng.random() * LONGEST_DELAY)
-        if drawn < LOSS + REPEATED + LATE:
+        if drawn < LOSS + REPEATED + DELAYED:
             return (self._rng.random() * LONGEST_DELAY,)
         return None
--- a/redwingstream/agent/tests/test_feeds.py
+++ b/redwingstream/agent/tests/test_feeds.py
@@ -5,24 +5,26 @@
 import pytest
 
 from redwingstream.agent.tests.exchange import Frame
-from redwingstream.agent.tests.fake_caller import FakeCaller, Watched
+from redwingstream.agent.tests.fake_caller import FakeCaller, WatchedFeed
 from redwingstream.agent.tests.fake_server import ServerPacket
 from redwingstream.agent.tests.pool import CONTROL, FakePool
 from redwingstream.agent.tests.support import (
     carriers,
-    hold_slots,
     drop_frames,
+    hold_slots,
     settled_pool,
     warm_up,
 )
 from redwingstream.forwarding.messages import FeedMove, Packet, TakeFeed
 from redwingstream.wire import coap
 
-GAP = 1.5
+MAX_GAP = 1.5
 
 
-def feed_elsewhere(pool: FakePool) -> tuple[FakeCaller, Watched]:
-    """Return a feed that another agent than its home carries."""
+def watch_feed_carried_elsewhere(
+    pool: FakePool,
+) -> tuple[FakeCaller, WatchedFeed]:
+    """Return a caller and its feed, carried by an agent other than its home."""
     warm_up(pool)
     caller = pool.caller()
     home, _ = pool.pair(caller)
@@ -34,7 +36,7 @@
 
 
 def registration_of(
-    pool: FakePool, caller: FakeCaller, watched: Watched
+    pool: FakePool, caller: FakeCaller, watched: WatchedFeed
 ) -> Packet:
     """Return the registration of a feed as a balancer sends it."""
     return Packet(
@@ -61,16 +63,16 @@
 
 
 class TestSilentCarrier:
-    """A carrier that dies without a word."""
+    """A carrier that dies without notice."""
 
     def test_replaced_without_control(self) -> None:
-        """A lot board stands still for as long as control is gone.
+        """A feed is moved when its carrier dies while control is down.
 
-        All control instances are gone when the board's carrier dies.  It stays
-        in the tables, so its home saw no reason to place the board elsewhere.
+        Without control instances the dead carrier stays in the tables.  A home
+        that relies on the tables alone never moves the feed.
         """
         pool = settled_pool(hosts=3)
-        _, watched = feed_elsewhere(pool)
+        _, watched = watch_feed_carried_elsewhere(pool)
         pool.kill(CONTROL)
         for host in carriers(pool):
             pool.kill(pool.endpoint_by_host[host])
@@ -79,10 +81,11 @@
         assert not watched.ended
 
     def test_plain_requests_go_elsewhere(self) -> None:
-        """An adviser's pages stay away until the lease of a dead host ends.
+        """Requests of a flow are not forwarded to a dead agent.
 
-        A flow was placed at another agent, which dies.  The home passed each
-        request to it until control removed it, and for ever without control.
+        The flow is placed at another agent, which dies.  A home that relies on
+        the tables forwards requests to it until its lease ends, and without
+        control forever.
         """
         pool = settled_pool(hosts=3)
         warm_up(pool)
@@ -95,19 +98,19 @@
         pool.kill(CONTROL)
         record = _placement(pool, caller, home)
         pool.kill(pool.endpoint_by_host[record.partition('#')[0]])
-        asked = caller.get(b'map 2')
+        request = caller.get(b'map 2')
         pool.run(10)
-        assert asked.outcome != 'none'
+        assert request.outcome != 'none'
 
     def test_cut_off_carrier_lets_go(self) -> None:
-        """A board jumps back to old counts minutes after a short cut.
+        """A carrier stops serving a feed that was moved while it was cut off.
 
-        Its carrier is cut off, the board is placed elsewhere, and the carrier
-        comes back as it was and goes on sending.  After 128 s without other
-        notifications a caller takes what it sends for newer (RFC 7641).
+        The carrier returns with its state and continues to send.  After 128 s
+        without other notifications the caller takes its old notifications for
+        newer ones (RFC 7641).
         """
         pool = settled_pool(hosts=3)
-        _, watched = feed_elsewhere(pool)
+        _, watched = watch_feed_carried_elsewhere(pool)
         pool.kill(CONTROL)
         former = carriers(pool)
         cuts = cut_off(pool, pool.endpoint_by_host[former[0]])
@@ -124,13 +127,14 @@
     """A home that dies while another agent carries the feed."""
 
     def test_acks_through_the_heir(self) -> None:
-        """A board ends half a minute after control and one host are lost.
+        """A feed survives the loss of control and of its home.
 
-        The carrier's notifications reach the caller, but its ACKs go by the
-        dead home.  The heir passed them on to the home as well.
+        The notifications reach the caller, but its ACKs are routed through the
+        dead home.  If the heir forwards them to the home too, the carrier gets
+        none and ends the feed after half a minute.
         """
         pool = settled_pool(hosts=3)
-        caller, watched = feed_elsewhere(pool)
+        caller, watched = watch_feed_carried_elsewhere(pool)
         home, _ = pool.pair(caller)
         pool.kill(CONTROL)
         pool.kill(pool.endpoint_by_host[home])
@@ -139,13 +143,13 @@
         assert watched.longest_gap(pool.exchange.now) < 8
 
     def test_known_registration_through_the_heir(self) -> None:
-        """A planner's feed ends because it registered again.
+        """An heir does not refuse the registration of a known feed.
 
-        The home is dead and control has not replaced it.  The caller repeats
-        its registration, the heir stands in and refused it with 5.03.
+        The home is dead and not yet replaced, and the caller repeats its
+        registration.  An answer of 5.03 by the heir would end the feed.
         """
         pool = settled_pool(hosts=3)
-        caller, watched = feed_elsewhere(pool)
+        caller, watched = watch_feed_carried_elsewhere(pool)
         home, heir = pool.pair(caller)
         pool.kill(CONTROL)
         pool.kill(pool.endpoint_by_host[home])
@@ -161,14 +165,14 @@
         assert not watched.ended
 
     def test_registration_while_nobody_has_room(self) -> None:
-        """A board ends because its caller registered again at a bad moment.
+        """A repeated registration is not refused while no agent has room.
 
-        Its carrier and control have just died, and the server beside the home
-        is full.  The home took the registration for a new feed and refused it
-        with 5.03.
+        The carrier and control have just died, and the server of the home is
+        full.  A home that treats the registration as a new feed refuses it
+        with 5.03, which ends the feed.
         """
         pool = settled_pool(hosts=2)
-        caller, watched = feed_elsewhere(pool)
+        caller, watched = watch_feed_carried_elsewhere(pool)
         home, _ = pool.pair(caller)
         pool.kill(CONTROL)
         for host in carriers(pool):
@@ -186,13 +190,13 @@
 
 
 class TestReturnPaths:
-    """The way back to a caller that sends nothing."""
+    """The return path to a caller that sends nothing."""
 
     def test_all_balancers_replaced(self) -> None:
-        """A driver's board stops once the last of the old balancers is gone.
+        """A feed continues after all balancers have been replaced.
 
-        All balancers are replaced while no packet of a caller arrives.  The
-        agent had heard from none of the new ones, and sent to the old ones.
+        No packet of the caller arrives in the meantime, so the agent has heard
+        from none of the new balancers and must learn of them from the tables.
         """
         pool = settled_pool()
         caller = pool.caller()
@@ -204,13 +208,13 @@
 
 
 class TestMoves:
-    """Feeds that change their carrier on purpose."""
+    """Feeds that are moved by request of their carrier."""
 
     def test_no_gap_while_the_server_is_slow(self) -> None:
-        """A board pauses when its agent leaves.
+        """A feed has no gap when its carrier leaves.
 
-        The former carrier let go as soon as the new one had the word, before
-        the new server had sent anything.
+        The former carrier must not stop before the new server has sent its
+        first notification.
         """
         pool = settled_pool(hosts=3)
         caller = pool.caller()
@@ -222,16 +226,16 @@
         pool.exchange.call_later(0.5, lambda: pool.control.mark_draining(home))
         pool.run(8)
         assert carriers(pool) != [home]
-        assert watched.longest_gap(pool.exchange.now) < GAP
+        assert watched.longest_gap(pool.exchange.now) < MAX_GAP
         assert not watched.ended
 
     @pytest.mark.parametrize('seconds', [0.3, 1, 4])
     def test_new_carrier_never_heard(self, seconds: float) -> None:
-        """A board stands still for good after its agent has left.
+        """A feed continues when the message to its new carrier is lost.
 
-        The leaving home places the board elsewhere, and the word to the new
-        carrier is lost.  The next home finds in its records that the feed has
-        a living carrier, and told the former one to let go.
+        The leaving home moves the feed, and the message to the new carrier is
+        lost.  The next home has a record that names a living carrier.  If it
+        tells the former carrier to stop, no agent serves the feed.
         """
         pool = settled_pool(hosts=4)
         warm_up(pool)
@@ -248,9 +252,10 @@
         assert watched.longest_gap(pool.exchange.now) < 6
 
     def test_moves_are_paced(self) -> None:
-        """Feeds whose server does not take them flood the homes.
+        """Requests to move a feed are sent at a limited rate.
 
-        Each was asked to be placed elsewhere fifty times a second.
+        Otherwise each feed whose server does not accept it causes fifty
+        requests a second to its home.
         """
         pool = settled_pool(hosts=2)
         caller = pool.caller()
@@ -261,19 +266,19 @@
             pool.kill(f'server of {host}')
             pool.agent(host).runner.handle_server_unreachable(pool.exchange.now)
         sent: list[Frame] = []
-        pool.exchange.inspect = lambda frame: _note(frame, FeedMove, sent)
+        pool.exchange.inspect = lambda frame: _collect(frame, FeedMove, sent)
         pool.run(5)
         assert len(sent) <= 11
 
 
 class TestAdmissionOfFeeds:
-    """What the opening of feeds says about the server."""
+    """How registrations of feeds affect admission."""
 
     def test_not_found_is_no_failure(self) -> None:
-        """One caller asks for a board that is not there; all others wait.
+        """An answer of 4.04 to a registration does not lower the limit.
 
-        The server answers 4.04, and admission took that for a timeout and
-        gave the server no more than a cold one.
+        If admission treats it as a timeout, one caller that registers for a
+        missing resource lowers the limit to that of a cold server.
         """
         pool = settled_pool(hosts=1)
         warm_up(pool)
@@ -287,11 +292,11 @@
         assert limit.limit == before
 
     def test_several_at_once_at_an_idle_pool(self) -> None:
-        """Marshals who open the board together are sent away for seconds.
+        """Registrations that arrive together at an idle pool are accepted.
 
-        The pool is fresh and idle, so that each server is given one request
-        at a time.  A registration takes milliseconds, and those that came
-        within them were refused although every server carries hundreds.
+        In a new and idle pool each server gets one request at a time.  A
+        registration takes milliseconds.  Registrations within that time must
+        wait, as every server has room for hundreds.
         """
         pool = settled_pool(hosts=2)
         pool.exchange.inspect = functools.partial(_slow_registration, 0.05)
@@ -322,6 +327,6 @@
     return None
 
 
-def _note(frame: Frame, kind: type, sent: list[Frame]) -> None:
+def _collect(frame: Frame, kind: type, sent: list[Frame]) -> None:
     if isinstance(frame.payload, kind):
         sent.append(frame)
--- a/redwingstream/agent/tests/test_leaving.py
+++ b/redwingstream/agent/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""An agent that leaves, and a zone that is taken out."""
+"""An agent that leaves, and a zone that is taken out of service."""
 
 import pytest
 
@@ -6,8 +6,8 @@
 from redwingstream.agent.tests.support import (
     caller_with_home,
     carriers,
-    hold_slots,
     drop_frames,
+    hold_slots,
     settled_pool,
     warm_up,
 )
@@ -25,9 +25,9 @@
         home, _ = pool.pair(caller)
         server = pool.server_by_host[home]
         pool.agent(home).core.leave()
-        asked = caller.post(b'bay 7')
+        request = caller.post(b'bay 7')
         pool.run(1)
-        assert asked.outcome == 'answered'
+        assert request.outcome == 'answered'
         assert not server.runs_by_key
 
     def test_running_request_finishes(self) -> None:
@@ -35,20 +35,20 @@
         caller = pool.caller()
         home, _ = pool.pair(caller)
         pool.server_by_host[home].run_time = 4.0
-        asked = caller.post(b'bay 7')
+        request = caller.post(b'bay 7')
         pool.run(0.5)
         pool.leave(home)
         pool.run(2)
         assert not pool.agent(home).runner.has_left(pool.control.tables)
         pool.run(4)
-        assert asked.outcome == 'answered'
+        assert request.outcome == 'answered'
         assert pool.agent(home).runner.has_left(pool.control.tables)
 
     def test_waits_for_outcomes_elsewhere(self) -> None:
-        """A caller never hears of a booking that has run.
+        """A leaving home waits for requests that other agents run for it.
 
-        The home has another agent run it and leaves.  It did not count what
-        others run for it, and its process ended before the outcome came.
+        If it does not count them, its process ends before the outcome arrives
+        and the caller gets no answer to a request that has run.
         """
         pool = settled_pool(hosts=2)
         warm_up(pool)
@@ -56,29 +56,29 @@
         home, heir = pool.pair(caller)
         pool.server_by_host[heir].run_time = 3.0
         hold_slots(pool, home)
-        asked = caller.post(b'bay 7')
+        request = caller.post(b'bay 7')
         pool.run(0.5)
         assert pool.runs(b'bay 7') == 1
         core = pool.agent(home).core
         core.leave()
         assert not core.is_idle()
         pool.run(6)
-        assert asked.outcome == 'answered'
+        assert request.outcome == 'answered'
 
     def test_given_up_at_the_deadline(self) -> None:
-        """What has not finished by then is cancelled and told *unknown*."""
+        """Unfinished requests are cancelled and answered as *unknown*."""
         pool = settled_pool()
         caller = pool.caller()
         home, _ = pool.pair(caller)
         pool.server_by_host[home].run_time = 30.0
-        asked = caller.post(b'bay 7')
+        request = caller.post(b'bay 7')
         pool.run(0.5)
         pool.leave(home)
         pool.run(2)
-        pool.agent(home).runner.give_up(pool.exchange.now)
+        pool.agent(home).runner.end_unfinished(pool.exchange.now)
         pool.kill(pool.endpoint_by_host[home])
         pool.run(0.1)
-        assert asked.outcome == 'unknown'
+        assert request.outcome == 'unknown'
 
     def test_unrecorded_at_the_deadline(self) -> None:
         pool = settled_pool(hosts=2)
@@ -87,12 +87,12 @@
         home, _ = pool.pair(caller)
         hold_slots(pool, home)
         drop_frames(pool, RunOutcome)
-        asked = caller.post(b'bay 7')
+        request = caller.post(b'bay 7')
         pool.run(0.5)
-        pool.agent(home).runner.give_up(pool.exchange.now)
+        pool.agent(home).runner.end_unfinished(pool.exchange.now)
         pool.kill(pool.endpoint_by_host[home])
         pool.run(0.1)
-        assert asked.outcome == 'unknown'
+        assert request.outcome == 'unknown'
 
     def test_mark_taken_back(self) -> None:
         pool = settled_pool()
@@ -102,21 +102,21 @@
         pool.run(2)
         pool.control.mark_draining(home, is_draining=False)
         pool.run(2)
-        asked = caller.post(b'bay 7')
+        request = caller.post(b'bay 7')
         pool.run(1)
-        assert asked.outcome == 'answered'
+        assert request.outcome == 'answered'
         assert pool.server_by_host[home].runs_by_key[b'bay 7'] == 1
 
 
 class TestReadmission:
-    """A process that control has removed and admits anew."""
+    """A process that control has removed and admits again."""
 
     def test_serves_again(self) -> None:
-        """A host takes no work any more after a long pause of its agent.
+        """An agent serves again after a pause longer than its lease.
 
         Control removes the frozen agent and admits it under a new incarnation
-        when it runs again.  Its core kept the former one: it was home of
-        nothing, and packets to it went nowhere.
+        when it runs again.  A core that keeps the former incarnation is home
+        of no bucket, and packets to it are lost.
         """
         pool = settled_pool()
         caller = pool.caller()
@@ -127,21 +127,21 @@
         pool.exchange.thaw(endpoint)
         pool.run(3)
         assert pool.pair(caller)[0] == home
-        asked = caller.post(b'bay 7')
+        request = caller.post(b'bay 7')
         pool.run(1)
-        assert asked.outcome == 'answered'
+        assert request.outcome == 'answered'
         assert pool.server_by_host[home].runs_by_key[b'bay 7'] == 1
 
 
 class TestZoneOut:
-    """Operators take an availability zone out."""
+    """Operators take an availability zone out of service."""
 
     @pytest.mark.parametrize('is_cut', [False, True])
     def test_feeds_are_given_up(self, is_cut: bool) -> None:
-        """A driver watches a board that stands still in a zone out.
+        """Feeds in a zone that is out of service are ended.
 
-        The agent that carries it may be cut off from control and not know of
-        the mark.  Its home tells the caller, and the agent lets go.
+        The carrier may be cut off from control and not know that its zone is
+        out.  The home tells the caller, and the carrier stops serving.
         """
         pool = settled_pool()
         warm_up(pool)
@@ -165,31 +165,31 @@
         home, _ = pool.pair(caller)
         pool.control.mark_zone(pool.zone_by_host[home], is_out=True)
         pool.run(1)
-        asked = [caller.post(b'bay %d' % number) for number in range(3)]
+        requests = [caller.post(b'bay %d' % number) for number in range(3)]
         pool.run(8)
         assert not pool.server_by_host[home].runs_by_key
-        assert {each.outcome for each in asked} <= {'answered', 'not run'}
+        assert {each.outcome for each in requests} <= {'answered', 'not run'}
 
     def test_running_request_is_cancelled(self) -> None:
         pool = settled_pool()
         caller = pool.caller()
         home, _ = pool.pair(caller)
         pool.server_by_host[home].run_time = 30.0
-        asked = caller.post(b'bay 7')
+        request = caller.post(b'bay 7')
         pool.run(0.5)
         pool.control.mark_zone(pool.zone_by_host[home], is_out=True)
         pool.run(3)
-        assert asked.outcome == 'unknown'
+        assert request.outcome == 'unknown'
 
 
 class TestBlocks:
     """Answers in several blocks (RFC 7959)."""
 
     def test_go_on_while_the_agent_leaves(self) -> None:
-        """A report breaks off in the middle because its agent leaves.
+        """A leaving agent serves later blocks of a started answer.
 
-        Each block is a request of its own, and the leaving agent refused the
-        next one as new work.
+        Each block is a request of its own.  An agent that refuses the next one
+        as new work interrupts the transfer.
         """
         pool = settled_pool()
         caller = pool.caller()
@@ -211,8 +211,8 @@
         pool.start(pool.hosts[-1])
         pool.run(2)
         assert pool.pair(caller)[0] == pool.hosts[-1]
-        before = pool.server_by_host[home].taken
-        asked = caller.get_block(b'report', 1)
+        before = pool.server_by_host[home].received
+        request = caller.get_block(b'report', 1)
         pool.run(0.5)
-        assert asked.outcome == 'answered'
-        assert pool.server_by_host[home].taken == before + 1
+        assert request.outcome == 'answered'
+        assert pool.server_by_host[home].received == before + 1
--- a/redwingstream/agent/tests/test_matrix.py
+++ b/redwingstream/agent/tests/test_matrix.py
@@ -9,13 +9,13 @@
 
 
 class TestMatrix:
-    """The promises hold in every cell."""
+    """The guarantees hold in every cell, and the page shows the results."""
 
     @pytest.mark.parametrize('fault', FAULT_BY_NAME)
     @pytest.mark.parametrize('step', [step.name for step in STEPS])
     def test_cell(self, step: str, fault: str) -> None:
         result = run_cell(step, fault)
-        assert result.happened
+        assert result.step_reached
         assert not result.violations
 
     def test_page(self) -> None:
--- a/redwingstream/agent/tests/test_server_sockets.py
+++ b/redwingstream/agent/tests/test_server_sockets.py
@@ -1,4 +1,4 @@
-"""The sockets of an agent to its server, on the loopback interface."""
+"""Sockets between an agent and its server, on the loopback interface."""
 
 import socket
 
@@ -22,10 +22,10 @@
     async def test_sends_the_request_that_meets_an_earlier_error(
         self,
     ) -> None:
-        """A plate reading would be lost though the server is back.
+        """A request is not lost to the error of an earlier packet.
 
-        The server is down and a packet is refused.  It comes back, and the
-        next call to send reports that refusal in place of sending.
+        The server is down and refuses a packet.  After it is back, the next
+        call to send reports that refusal instead of sending the request.
         """
         with open_server() as server:
             port = server.getsockname()[1]
--- a/redwingstream/agent/tests/test_soak.py
+++ b/redwingstream/agent/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Random faults, several at once."""
+"""Random faults, one at a time and several at once."""
 
 import pytest
 
@@ -6,23 +6,23 @@
 
 
 class TestSoak:
-    """The promises hold under faults that overlap."""
+    """The guarantees hold under random faults."""
 
     @pytest.mark.parametrize('seed', range(8))
     def test_one_agent_at_a_time(self, seed: int) -> None:
         soak = Soak(seed, faults_at_once=1)
         soak.run()
-        assert not soak.broken()
+        assert not soak.violations()
         assert not soak.silent_feeds()
 
     @pytest.mark.parametrize('seed', [32, 33, 43, *range(8)])
     def test_several_agents(self, seed: int) -> None:
-        """All bookings stop at an agent whose heir is silent.
+        """Requests are served by an agent whose heir is silent.
 
-        A slot given back there let in a request that had waited, while the
-        agent walked over those that wait: RuntimeError at each tick (seeds 32,
-        33 and 43).
+        A released slot admits a waiting request.  If that happens while the
+        agent iterates over the waiting requests, each tick raises RuntimeError
+        (seeds 32, 33 and 43).
         """
         soak = Soak(seed, faults_at_once=3)
         soak.run()
-        assert not soak.broken()
+        assert not soak.violations()
