--- a/asv_bench/fleets.py
+++ b/asv_bench/fleets.py
@@ -12,7 +12,7 @@
     SetRoute,
     SetZone,
 )
-from redwingstream.tables.machine.machine import Machine
+from redwingstream.tables.machine.machine import StateMachine
 from redwingstream.tables.machine.messages import AdmitMember, SettleView
 from redwingstream.tables.rows import Pool, Role, Route, ZoneMark
 from redwingstream.wire import messages
@@ -64,7 +64,7 @@
 
     def __init__(self, shape: FleetShape) -> None:
         self.shape = shape
-        self.machine = Machine()
+        self.machine = StateMachine()
         self._indexes = itertools.count(1)
         # Members come before their pools: an admission looks at all pools, so
         # that the other order takes time with the cube of the size.
--- a/asv_bench/flow_processes.py
+++ b/asv_bench/flow_processes.py
@@ -143,7 +143,7 @@
         slots=SLOTS,
     )
     role = AgentRole(settings, KEY)
-    role._node.follower.history.take(tables_update(run.agents))
+    role._node.follower.history.apply_update(tables_update(run.agents))
     role._node.announcer.incarnation = 1
     async with role.opened():
         pipe.send('ready')
--- a/asv_bench/handoff.py
+++ b/asv_bench/handoff.py
@@ -106,7 +106,7 @@
         """Let everyone adopt a view, and run until all have settled it."""
         started = time.process_time()
         for endpoint, keeper in self.keeper_by_endpoint.items():
-            self._hold(endpoint, keeper.adopt(view, self._now))
+            self._hold(endpoint, keeper.apply_view(view, self._now))
         self._deliver()
         for _ in range(MOST_STEPS):
             if self._is_settled(view):
@@ -164,7 +164,7 @@
     earlier = EarlierView(1, old.members)
     new = PoolView(POOL, 2, members[:after], (earlier,))
     pool.adopt(new)
-    former, latest = PairTable.of_view(old), PairTable.of_view(new)
+    former, latest = PairTable.from_view(old), PairTable.from_view(new)
     pool.count.moved = sum(
         former.pair(bucket).home != latest.pair(bucket).home
         for bucket in range(buckets)
@@ -202,7 +202,7 @@
 
 
 def _fill(pool: Pool, view: PoolView, feeds: int) -> None:
-    pairs = PairTable.of_view(view)
+    pairs = PairTable.from_view(view)
     for number in range(feeds):
         bucket = number % pool.buckets
         caller = memory.caller(number)
--- a/asv_bench/journal.py
+++ b/asv_bench/journal.py
@@ -17,7 +17,7 @@
 from redwingstream.consensus.events import HardState
 from redwingstream.consensus.messages import Entry
 from redwingstream.storage.disk import open_folder
-from redwingstream.storage.store import Store
+from redwingstream.storage.store import ReplicaStore
 
 APPENDS = 500
 BODY_SIZE = 200
@@ -50,7 +50,7 @@
 def measure_journal(path: Path, group: int) -> Measured:
     """Time synced appends of some entries each to the journal."""
     with open_folder(path) as folder:
-        store = Store(folder)
+        store = ReplicaStore(folder)
         store.load(lambda: 1)
 
         def append(index: int) -> None:
--- a/asv_bench/memory.py
+++ b/asv_bench/memory.py
@@ -118,7 +118,7 @@
     """Return the links of a balancer to agents."""
     links = PeerLinks()
     for number in range(size):
-        links.sent(Endpoint(caller(number), 7000), 0)
+        links.record_sent(Endpoint(caller(number), 7000), 0)
     return links
 
 
@@ -185,7 +185,7 @@
         forwarder = Forwarder(Endpoint('10.0.0.1', 7000), KEY)
         forwarder.adopt(tables)
         for view in tables.view_by_pool.values():
-            pairs = PairTable.of_view(view)
+            pairs = PairTable.from_view(view)
             forwarder._pairs_by_pool[view.pool] = pairs
             for bucket in range(BUCKETS):
                 pairs.pair(bucket)
--- a/asv_bench/packet_processes.py
+++ b/asv_bench/packet_processes.py
@@ -182,7 +182,7 @@
         fabric=FABRIC,
     )
     role = BalancerRole(settings, KEY)
-    role._node.follower.history.take(tables_update(run.agents))
+    role._node.follower.history.apply_update(tables_update(run.agents))
     role._node.follower.on_tables()
     async with role.opened():
         pipe.send('ready')
--- a/asv_bench/placement_ways.py
+++ b/asv_bench/placement_ways.py
@@ -26,7 +26,7 @@
     Network,
     flow,
     member,
-    placed,
+    view_with_pair,
     started,
     view,
 )
@@ -158,16 +158,16 @@
     net = Network()
     for agent in HOSTS:
         net.join(agent, BUCKETS)
-    net.adopt(FIRST)
+    net.apply_view(FIRST)
     net.run(1)
     for each in flows:
         establish(net, each)
     following = [
         host for place, host in enumerate(net.agent_by_host) if place % 3
     ]
-    net.adopt(SECOND, *following)
+    net.apply_view(SECOND, *following)
     net.held = net.held[::2]
-    net.adopt(THIRD)
+    net.apply_view(THIRD)
     net.run(3)
     return net
 
@@ -219,13 +219,13 @@
     net.join(first)
     net.join(second)
     net.join(third)
-    before = placed(11, first, second)
-    net.adopt(before)
+    before = view_with_pair(11, first, second)
+    net.apply_view(before)
     net.deliver()
     net.record(first.host, started(7))
     if accepted:
         net.hand_over_first()
-    take_over(net, placed(12, third, second, after=before))
+    take_over(net, view_with_pair(12, third, second, after=before))
     results = net.results(first.host) + net.results(third.host)
     return sum(isinstance(result, Recorded) for result in results)
 
@@ -236,7 +236,7 @@
     late = net.held
     net.held = []
     net.cut = {paused}
-    net.adopt(following)
+    net.apply_view(following)
     net.run(SETTLING)
     if net.holds(third) != started(7):
         net.record(third, started(7))
--- a/properties/test_consensus.py
+++ b/properties/test_consensus.py
@@ -10,7 +10,7 @@
     rule,
 )
 
-from redwingstream.consensus.events import HandOverAsked
+from redwingstream.consensus.events import HandOverRequested
 from redwingstream.control.tests.fakes import NAMES, Fleet
 from redwingstream.errors import ResultCode
 from redwingstream.storage.tests.fakes import FakeFolder
@@ -25,7 +25,7 @@
 
 
 def _all_count(faults: 'ReplicaFaults') -> bool:
-    return faults.fleet.all_count()
+    return faults.fleet.all_are_voters()
 
 
 class ReplicaFaults(RuleBasedStateMachine):
@@ -37,7 +37,7 @@
     @initialize(seed=st.integers(0, 2**32))
     def begin(self, seed: int) -> None:
         """Form a group, since faults before are another test's subject."""
-        self.fleet = Fleet(seed).begin()
+        self.fleet = Fleet(seed).form_group()
         self.requests = 0
 
     @rule(ticks=st.integers(1, 40), loss=st.sampled_from((0, 0.1, 0.6)))
@@ -82,7 +82,7 @@
     def lose_disk(self, name: str) -> None:
         node = self.fleet.node_by_name[name]
         node.crash()
-        node.folder = FakeFolder(self.fleet.chance)
+        node.folder = FakeFolder(self.fleet.rng)
         node.start()
 
     @rule(name=names)
@@ -96,29 +96,29 @@
 
     @rule(source=names, receiver=names)
     def cut_one_way(self, source: str, receiver: str) -> None:
-        self.fleet.cut.add((source, receiver))
+        self.fleet.cut_links.add((source, receiver))
 
     @rule()
     def mend_cuts(self) -> None:
-        self.fleet.cut.clear()
+        self.fleet.cut_links.clear()
 
     @rule(name=names)
     def stop_gracefully(self, name: str) -> None:
         node = self.fleet.node_by_name[name]
         if not node.frozen:
-            node.run(lambda replica: replica.step(HandOverAsked()))
+            node.run(lambda replica: replica.step(HandOverRequested()))
 
     @invariant()
     def one_leader_a_term(self) -> None:
         if hasattr(self, 'fleet'):
-            self.fleet.see_leaders()
+            self.fleet.check_leaders()
 
     def teardown(self) -> None:
         """After all faults are over, a change is accepted everywhere."""
         if not hasattr(self, 'fleet'):
             return
         fleet = self.fleet
-        fleet.calm_down()
+        fleet.heal_all()
         assert _all_count(self)
         edits = Edits(set_zones=(SetZone(ZoneMark('last', out=True)),))
         based_on = fleet.node_by_name['a'].config_revision()
@@ -126,8 +126,8 @@
         for name in NAMES:
             fleet.propose(name, request)
         fleet.pass_ticks(20)
-        assert fleet.witness.answer_by_request['last'].code == ResultCode.OK
-        states = {node.packed() for node in fleet.nodes}
+        assert fleet.checker.answer_by_request['last'].code == ResultCode.OK
+        states = {node.packed_state() for node in fleet.nodes}
         assert len(states) == 1
 
 
--- a/properties/test_ledger.py
+++ b/properties/test_ledger.py
@@ -95,8 +95,8 @@
     @rule(seconds=st.floats(0, 1.5 * HORIZON))
     def time_passes(self, seconds):
         self.now += seconds
-        self.home.expire(self.now)
-        self.heir.expire(self.now)
+        self.home.evict_expired(self.now)
+        self.heir.evict_expired(self.now)
 
     @rule()
     def home_is_lost(self):
@@ -174,7 +174,7 @@
         self.in_progress.append((number, self.home))
 
     def record(self, owner, number, other):
-        entry = owner.entry(*identity(number), self.now)
+        entry = owner.find_entry(*identity(number), self.now)
         if entry is not None and other is not owner:
             other.merge(BUCKET, (entry,), self.now)
 
--- a/properties/test_placement.py
+++ b/properties/test_placement.py
@@ -10,10 +10,10 @@
     BUCKETS,
     ZONE_BY_HOST,
     Cluster,
-    calm,
+    run_without_faults,
     catch_up,
-    drain,
-    end_of_faults,
+    deliver_all,
+    heal_all,
 )
 
 KEY_COUNT = 4
@@ -37,7 +37,7 @@
         """Control commits a view; some hosts hear of it at once."""
         self.cluster.commit(hosts)
         for host in sorted(adopting):
-            self.cluster.adopt(host, -1)
+            self.cluster.apply_view(host, -1)
 
     @rule(back=st.booleans())
     def move_home(self, *, back: bool) -> None:
@@ -47,10 +47,10 @@
         if home is not None and not back:
             hosts.discard(home.host)
         self.cluster.commit(hosts)
-        for host in self.cluster.awake():
-            if host not in self.cluster.apart:
-                self.cluster.adopt(host, -1)
-        calm(self.cluster, 1)
+        for host in self.cluster.running_hosts():
+            if host not in self.cluster.partitioned:
+                self.cluster.apply_view(host, -1)
+        run_without_faults(self.cluster, 1)
 
     @rule()
     def catch_up(self) -> None:
@@ -60,12 +60,12 @@
     @rule(hosts=SOME_HOSTS)
     def part(self, hosts: set[str]) -> None:
         """The network holds back what passes between two groups."""
-        self.cluster.apart = hosts
+        self.cluster.partitioned = hosts
 
     @rule(host=HOSTS, index=VIEWS_BACK)
     def adopt(self, host: str, index: int) -> None:
         """A host gets the tables, perhaps old ones, perhaps skipping some."""
-        self.cluster.adopt(host, index)
+        self.cluster.apply_view(host, index)
 
     @rule(hosts=SOME_HOSTS, seconds=st.sampled_from((0, 0.1, 0.6)))
     def tick(self, hosts: set[str], seconds: float) -> None:
@@ -87,18 +87,18 @@
     @rule(index=INDEXES)
     def lose(self, index: int) -> None:
         """A message is lost."""
-        if self.cluster.wire:
-            self.cluster.wire.pop(index % len(self.cluster.wire))
+        if self.cluster.in_transit:
+            self.cluster.in_transit.pop(index % len(self.cluster.in_transit))
 
     @rule()
     def deliver_all(self) -> None:
         """The network catches up."""
-        drain(self.cluster)
+        deliver_all(self.cluster)
 
     @rule()
     def calm(self) -> None:
         """Nothing fails for a moment."""
-        calm(self.cluster, 1)
+        run_without_faults(self.cluster, 1)
 
     @rule(host=HOSTS, key=KEYS)
     def request(self, host: str, key: int) -> None:
@@ -125,11 +125,11 @@
         following = self.cluster.control.newest_pair(0).home
         if following is not None:
             self.cluster.request(following.host, key)
-        calm(self.cluster, 1)
+        run_without_faults(self.cluster, 1)
         if back:
             self.move_home(back=True)
         self.part(set())
-        drain(self.cluster)
+        deliver_all(self.cluster)
 
     @rule(host=HOSTS, port=PORTS)
     def open_flow(self, host: str, port: int) -> None:
@@ -161,26 +161,26 @@
     @rule()
     def wait_for_horizon(self) -> None:
         """Those who run are calm; then the longest replay time passes."""
-        calm(self.cluster, HORIZON + 4)
+        run_without_faults(self.cluster, HORIZON + 4)
 
     @invariant()
     def each_request_runs_at_most_once(self) -> None:
         """No key takes effect twice, over all runs of all hosts."""
-        assert not self.cluster.account.run_twice()
+        assert not self.cluster.account.requests_run_twice()
 
     @invariant()
     def no_accepted_flow_is_forgotten(self) -> None:
         """One of its pair lives on, so somebody holds it."""
-        assert not self.cluster.forgotten(ZONE_BY_HOST)
+        assert not self.cluster.lost_flows(ZONE_BY_HOST)
 
     def teardown(self) -> None:
         """Once faults stop, every bucket comes into effect and settles."""
         cluster = self.cluster
-        end_of_faults(cluster)
+        heal_all(cluster)
         assert not cluster.control.views[-1].unsettled
         for bucket in range(BUCKETS):
             self._check_bucket(bucket)
-        assert not cluster.account.run_twice()
+        assert not cluster.account.requests_run_twice()
 
     def _check_bucket(self, bucket: int) -> None:
         cluster = self.cluster
@@ -189,10 +189,10 @@
         keeper = cluster.run_by_host[home].agent.keeper
         assert keeper.status(bucket) == InEffect()
         for each in pair.members():
-            assert not cluster.forgotten((each.host,))
+            assert not cluster.lost_flows((each.host,))
         for key in range(bucket, KEY_COUNT, BUCKETS):
             cluster.request(home, key)
-        calm(cluster, 1)
+        run_without_faults(cluster, 1)
 
 
 TestKeepersUnderFaults = KeepersUnderFaults.TestCase
--- a/properties/test_resizing.py
+++ b/properties/test_resizing.py
@@ -32,7 +32,7 @@
 
     One that is about to count is among them: its group has to agree already.
     """
-    witness = machine.fleet.witness
+    witness = machine.fleet.checker
     identity_by_name = machine.fleet.identity_by_name()
     counting = (*witness.group.items(), *witness.joining.items())
     return all(
@@ -49,7 +49,7 @@
 
     @initialize(seed=st.integers(0, 2**32))
     def begin(self, seed: int) -> None:
-        self.fleet = Fleet(seed, NAMES, SIZE).begin()
+        self.fleet = Fleet(seed, NAMES, SIZE).form_group()
         self.requests = 0
         self.replaced = 0
 
@@ -92,7 +92,7 @@
     def lose_disk(self, number: int) -> None:
         node = self._node(number)
         node.crash()
-        node.folder = FakeFolder(self.fleet.chance)
+        node.folder = FakeFolder(self.fleet.rng)
         node.start()
 
     @precondition(_disks_are_whole)
@@ -114,7 +114,7 @@
     @rule(source=numbers, receiver=numbers)
     def cut_one_way(self, source: int, receiver: int) -> None:
         names = (self._node(source).name, self._node(receiver).name)
-        self.fleet.cut.add(names)
+        self.fleet.cut_links.add(names)
 
     @rule(number=numbers)
     def cut_off(self, number: int) -> None:
@@ -122,19 +122,19 @@
 
     @rule()
     def mend_cuts(self) -> None:
-        self.fleet.cut.clear()
+        self.fleet.cut_links.clear()
 
     @invariant()
     def one_leader_a_term(self) -> None:
         if hasattr(self, 'fleet'):
-            self.fleet.see_leaders()
+            self.fleet.check_leaders()
 
     def teardown(self) -> None:
         """After all faults are over, a change is accepted everywhere."""
         if not hasattr(self, 'fleet'):
             return
         fleet = self.fleet
-        fleet.calm_down()
+        fleet.heal_all()
         leader = fleet.leader()
         assert leader is not None
         edits = Edits(set_zones=(SetZone(ZoneMark('last', out=True)),))
@@ -142,9 +142,9 @@
         for name in fleet.names:
             fleet.propose(name, request)
         fleet.pass_ticks(20)
-        assert fleet.witness.answer_by_request['last'].code == ResultCode.OK
-        assert len({node.packed() for node in fleet.nodes}) == 1
-        assert len(fleet.witness.group) == SIZE
+        assert fleet.checker.answer_by_request['last'].code == ResultCode.OK
+        assert len({node.packed_state() for node in fleet.nodes}) == 1
+        assert len(fleet.checker.group) == SIZE
         assert _disks_are_whole(self)
 
     def _node(self, number: int):
--- a/redwingstream/agent/awaited_outcomes.py
+++ b/redwingstream/agent/awaited_outcomes.py
@@ -73,4 +73,4 @@
 
     def _find_entry(self, run: Run, now: float) -> LedgerEntry | None:
         ledger = self._parts.store.ledger
-        return ledger.entry(run.key, run.checksum, now)
+        return ledger.find_entry(run.key, run.checksum, now)
--- a/redwingstream/agent/core.py
+++ b/redwingstream/agent/core.py
@@ -56,7 +56,7 @@
         parts.apply_tables(tables, now)
         view = tables.view_by_pool.get(parts.identity.pool)
         if view is not None:
-            components.keeper.perform(parts.keeper.adopt(view, now), now)
+            components.keeper.perform(parts.keeper.apply_view(view, now), now)
         components.handle_view_change(now)
         member = tables.member_by_host.get(parts.identity.host)
         is_marked = member is not None and member.draining
@@ -83,7 +83,7 @@
         parts = self.parts
         components = self._components
         parts.store.now = now
-        parts.links.heard(parse_endpoint(source))
+        parts.links.record_heard(parse_endpoint(source))
         match message:
             case Packet():
                 parts.out.fetch_if_newer(message.revision, source)
--- a/redwingstream/agent/feed_checks.py
+++ b/redwingstream/agent/feed_checks.py
@@ -127,7 +127,7 @@
         if endpoint is None:
             return
         # A probe is sent unless a frame of the carrier arrives first.
-        self._parts.links.sent(parse_endpoint(endpoint), now)
+        self._parts.links.record_sent(parse_endpoint(endpoint), now)
         self._resend_unconfirmed(record, now)
 
     def _resend_unconfirmed(self, record: FlowRecord, now: float) -> None:
--- a/redwingstream/agent/flow_placement.py
+++ b/redwingstream/agent/flow_placement.py
@@ -215,7 +215,7 @@
             generation=record.generation,
             carrier_incarnation=int(record.carrier.rpartition('#')[2]),
         )
-        self._parts.links.sent(parse_endpoint(endpoint), now)
+        self._parts.links.record_sent(parse_endpoint(endpoint), now)
         self._parts.out.to_peer(endpoint, assigned)
         return True
 
--- a/redwingstream/agent/non_idempotent.py
+++ b/redwingstream/agent/non_idempotent.py
@@ -25,14 +25,14 @@
 from redwingstream.forwarding.messages import Packet, RunOutcome
 from redwingstream.placement.messages import BucketContents
 from redwingstream.requests.begun import (
-    Begun,
+    BeginResult,
     Fresh,
     Full,
     OutcomeUnknown,
     Running,
 )
 from redwingstream.requests.checksum import request_checksum
-from redwingstream.requests.outcomes import told_again
+from redwingstream.requests.outcomes import reply_packet
 from redwingstream.requests.records import RequestState
 
 RECORD_TIMEOUT = 4.5
@@ -181,7 +181,7 @@
         # An earlier home started this run; its replays are answered from
         # the ledger here.
         self._parts.metrics.count('outcome_late')
-        if self._ledger.entry(*identity) is not None:
+        if self._ledger.find_entry(*identity) is not None:
             self._ledger.finish(*identity, outcome.state, outcome.answer, now)
         replay = self._awaited.pop(identity)
         if replay is not None:
@@ -241,7 +241,7 @@
 
     def _record(self, waiting: _Waiting, now: float) -> None:
         run = waiting.run
-        entry = self._ledger.entry(run.key, run.checksum, now)
+        entry = self._ledger.find_entry(run.key, run.checksum, now)
         contents = BucketContents(entries=(entry,) if entry else ())
         self._parts.store.withhold(run.identity)
         ticket, effects = self._parts.keeper.record(
@@ -285,12 +285,14 @@
     def _pop_waiting(self, ticket: int) -> _Waiting | None:
         return self._waiting_by_ticket.pop(ticket, None)
 
-    def _replay(self, packet: Packet, request: Message, begun: Begun) -> None:
+    def _replay(
+        self, packet: Packet, request: Message, begun: BeginResult
+    ) -> None:
         self._parts.metrics.count('replayed')
         if isinstance(begun, Running):
             # No empty ACK is sent: the answer is piggybacked on the ACK.  If
             # it is lost, the caller's next retransmission gets it.
             return
-        payload = told_again(request, begun)
+        payload = reply_packet(request, begun)
         if payload is not None:
             self._replies.send(packet, payload)
--- a/redwingstream/agent/packet_dispatcher.py
+++ b/redwingstream/agent/packet_dispatcher.py
@@ -185,7 +185,7 @@
         if packet.hops >= MAX_HOPS:
             self._parts.metrics.count('hops_exceeded')
             return True
-        self._parts.links.sent(endpoint, now)
+        self._parts.links.record_sent(endpoint, now)
         forwarded = attrs.evolve(packet, hops=packet.hops + 1)
         self._parts.out.to_peer(home.endpoint, forwarded)
         return True
--- a/redwingstream/agent/parts.py
+++ b/redwingstream/agent/parts.py
@@ -158,7 +158,9 @@
         former = self.tables.view_by_pool.get(self.identity.pool)
         if view is None or former is None or view.number != former.number:
             self.former_pair_table = self.pair_table
-            self.pair_table = None if view is None else PairTable.of_view(view)
+            self.pair_table = (
+                None if view is None else PairTable.from_view(view)
+            )
         self.tables = tables
         self._apply_balancers(now)
 
--- a/redwingstream/agent/replies.py
+++ b/redwingstream/agent/replies.py
@@ -5,7 +5,7 @@
 from redwingstream.agent.parts import AgentParts
 from redwingstream.errors import ResultCode
 from redwingstream.forwarding.messages import Answer, Packet
-from redwingstream.requests.outcomes import NotRun, Unknown, told
+from redwingstream.requests.outcomes import NotRun, Unknown, outcome_packet
 
 
 class Replies:
@@ -54,12 +54,12 @@
         self._parts.gauge.record_refused(now)
         overload = self._parts.gauge.overload(now)
         delay = self._parts.come_back.delay(reason, overload)
-        return told(request, NotRun(reason, delay))
+        return outcome_packet(request, NotRun(reason, delay))
 
     def unknown(self, request: Message) -> bytes:
         """Return the packet that says that a request may have run."""
         self._parts.metrics.count('outcome_unknown')
-        return told(request, Unknown())
+        return outcome_packet(request, Unknown())
 
     def refuse(
         self, packet: Packet, request: Message, reason: ResultCode, now: float
--- a/redwingstream/agent/reports.py
+++ b/redwingstream/agent/reports.py
@@ -87,7 +87,7 @@
             and (home := parts.home_of(bucket)) is not None
         }
         for endpoint in homes:
-            parts.links.sent(parse_endpoint(endpoint), now)
+            parts.links.record_sent(parse_endpoint(endpoint), now)
 
     def _report_load(self) -> None:
         parts = self._parts
--- a/redwingstream/agent/request_endings.py
+++ b/redwingstream/agent/request_endings.py
@@ -111,7 +111,7 @@
         An heir may use it as well.
         """
         key = request_key(packet, request)
-        entry = self._ledger.entry(key, request_checksum(request))
+        entry = self._ledger.find_entry(key, request_checksum(request))
         if entry is None or entry.state not in _REPEATABLE_STATES:
             return None
         return entry if entry.answer else None
@@ -122,7 +122,7 @@
         Nothing waits for the acknowledgement: if the message is lost, a replay
         at the heir gets *unknown*.
         """
-        entry = self._ledger.entry(run.key, run.checksum, now)
+        entry = self._ledger.find_entry(run.key, run.checksum, now)
         if entry is None:
             return
         contents = BucketContents(entries=(entry,))
--- a/redwingstream/agent/runner.py
+++ b/redwingstream/agent/runner.py
@@ -11,7 +11,7 @@
 
 from redwingstream.agent.core import AgentCore
 from redwingstream.agent.factory import make_parts
-from redwingstream.agent.inbox import AgentMessage
+from redwingstream.agent.message_types import AgentMessage
 from redwingstream.agent.outputs import Outputs
 from redwingstream.agent.parts import AgentIdentity, ServerCapacity
 from redwingstream.agent.status import agent_state
@@ -118,7 +118,7 @@
     def record_heard(self, source: str) -> None:
         """Record that another process has been heard from."""
         if self.core is not None:
-            self.core.parts.links.heard(parse_endpoint(source))
+            self.core.parts.links.record_heard(parse_endpoint(source))
 
     def handle_server_packet(
         self, packet: bytes, source: int, now: float
--- a/redwingstream/agent/store.py
+++ b/redwingstream/agent/store.py
@@ -86,7 +86,7 @@
     def evict_expired(self, now: float) -> None:
         """Evict expired entries; release requests withheld for too long."""
         self.now = now
-        self.ledger.expire(now)
+        self.ledger.evict_expired(now)
         self.flows.expire(now)
         self.transfers.expire(now)
         while self._withheld_at:
--- a/redwingstream/agent/tests/pool.py
+++ b/redwingstream/agent/tests/pool.py
@@ -201,7 +201,7 @@
             self._exchange.send(self.endpoint, str(peer), probe)
 
     def _heard(self, source: str, revision: int) -> None:
-        self._forwarder.links.heard(parse_endpoint(source))
+        self._forwarder.links.record_heard(parse_endpoint(source))
         if revision > self.tables.revision:
             self._exchange.send(self.endpoint, source, Fetch())
 
--- a/redwingstream/balancer/forwarder.py
+++ b/redwingstream/balancer/forwarder.py
@@ -77,7 +77,7 @@
         old_views = self._tables.view_by_pool
         for pool, view in tables.view_by_pool.items():
             if old_views.get(pool) != view:
-                self._pairs_by_pool[pool] = PairTable.of_view(view)
+                self._pairs_by_pool[pool] = PairTable.from_view(view)
         for pool in old_views.keys() - tables.view_by_pool.keys():
             self._pairs_by_pool.pop(pool, None)
         self._tables = tables
@@ -116,7 +116,7 @@
             balancer=self._balancer,
             payload=payload,
         )
-        self.links.sent(agent, now)
+        self.links.record_sent(agent, now)
         return Forward(agent, packet)
 
     def _agent_of(self, pool: str, bucket: int, now: float) -> Endpoint | None:
--- a/redwingstream/balancer/role.py
+++ b/redwingstream/balancer/role.py
@@ -128,7 +128,7 @@
             self._to_fabric(fabric.wrap(way, coap.encode(refusal)))
 
     def _on_answer(self, answer: Answer, source: Endpoint) -> None:
-        self._forwarder.links.heard(source)
+        self._forwarder.links.record_heard(source)
         self._node.follower.hear(answer.revision, source)
         self._tell_newer(answer.revision, source)
         try:
@@ -159,7 +159,7 @@
         self._fabric_socket.send(datagram, self._fabric_source.as_pair())
 
     def _on_probe_ack(self, ack: ProbeAck, source: Endpoint) -> None:
-        self._forwarder.links.heard(source)
+        self._forwarder.links.record_heard(source)
         self._node.follower.hear(ack.revision, source)
 
     async def _probe(self) -> None:
--- a/redwingstream/balancer/tests/test_forwarder.py
+++ b/redwingstream/balancer/tests/test_forwarder.py
@@ -104,7 +104,7 @@
         assert isinstance(first, Forward)
         assert isinstance(later, Forward)
         assert later.agent != first.agent
-        forwarder.links.heard(first.agent)
+        forwarder.links.record_heard(first.agent)
         assert forwarder.decide(WAY, b'', SILENT_AFTER + 2) == first
 
     def test_forgets_a_pool_that_was_removed(self) -> None:
--- a/redwingstream/balancer/tests/test_role.py
+++ b/redwingstream/balancer/tests/test_role.py
@@ -143,7 +143,7 @@
         from it, without a word that the agent could learn from.
         """
         informed = member_at(free_endpoint())
-        informed.follower.history.take(UPDATE)
+        informed.follower.history.apply_update(UPDATE)
         target = role.settings.endpoint
         newest = Answer(UPDATE.revision, str(WAY.caller), SERVICE, b'new')
         old = attrs.evolve(newest, revision=UPDATE.revision - 1)
--- a/redwingstream/consensus/core.py
+++ b/redwingstream/consensus/core.py
@@ -14,9 +14,9 @@
     Effects,
     Event,
     GroupFounded,
-    HandOverAsked,
+    HandOverRequested,
     HardState,
-    PeersHeard,
+    PeersUpdated,
     Proposed,
     ReadAsked,
     Received,
@@ -44,7 +44,7 @@
     Follower,
     Leader,
     ReplicaState,
-    Sizing,
+    GroupPolicy,
     Timing,
 )
 from redwingstream.errors import CallFailedError, ResultCode
@@ -81,7 +81,7 @@
         timing: Timing,
         jitter: random.Random,
         now: float = 0,
-        sizing: Sizing = FIXED_GROUP,
+        sizing: GroupPolicy = FIXED_GROUP,
     ) -> None:
         role = Follower(now)
         self._state = ReplicaState(
@@ -230,9 +230,9 @@
                 _synced(state, index)
             case SnapshotTaken():
                 _take_snapshot(state, event)
-            case HandOverAsked():
+            case HandOverRequested():
                 _hand_over(state)
-            case PeersHeard(peers=peers):
+            case PeersUpdated(peers=peers):
                 resizing.note_peers(state, peers)
             case GroupFounded(group=group):
                 joining.found(state, group)
--- a/redwingstream/consensus/events.py
+++ b/redwingstream/consensus/events.py
@@ -79,7 +79,7 @@
 
 
 @attrs.frozen
-class HandOverAsked:
+class HandOverRequested:
     """This replica is about to stop."""
 
 
@@ -100,7 +100,7 @@
 
 
 @attrs.frozen
-class PeersHeard:
+class PeersUpdated:
     """Which replicas with a disk run now, in a group that may be resized.
 
     Parameters
@@ -132,8 +132,8 @@
     | Proposed
     | ReadAsked
     | SnapshotTaken
-    | HandOverAsked
-    | PeersHeard
+    | HandOverRequested
+    | PeersUpdated
     | GroupFounded
 )
 
--- a/redwingstream/consensus/state.py
+++ b/redwingstream/consensus/state.py
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen
-class Sizing:
+class GroupPolicy:
     """How a group that is not named by the settings chooses its members.
 
     Parameters
@@ -71,7 +71,7 @@
     replace_after: float = DEFAULT_REPLACE_AFTER
 
 
-FIXED_GROUP = Sizing()
+FIXED_GROUP = GroupPolicy()
 
 
 @attrs.define
@@ -238,7 +238,7 @@
 
     myself: Voter
     names: tuple[str, ...]
-    sizing: Sizing
+    sizing: GroupPolicy
     timing: Timing
     jitter: random.Random
     log: Log
--- a/redwingstream/consensus/tests/test_resizing.py
+++ b/redwingstream/consensus/tests/test_resizing.py
@@ -18,13 +18,13 @@
 
 
 def _cut(fleet: Fleet, one: str, other: str) -> None:
-    fleet.cut.update({(one, other), (other, one)})
+    fleet.cut_links.update({(one, other), (other, one)})
 
 
 def _led_by(name: str, names: tuple[str, ...] = NAMES) -> Fleet:
     """Return a fleet that a replica leads; seeds are tried in order."""
     for seed in range(50):
-        fleet = Fleet(seed, names, SIZE).begin()
+        fleet = Fleet(seed, names, SIZE).form_group()
         leader = fleet.leader()
         if leader is not None and leader.name == name:
             return fleet
@@ -35,17 +35,17 @@
     """Who counts."""
 
     def test_three_of_four_count(self) -> None:
-        fleet = Fleet(1, NAMES, SIZE).begin()
+        fleet = Fleet(1, NAMES, SIZE).form_group()
         fleet.pass_ticks(SOON)
         assert _counting(fleet.leader()) == {'a', 'b', 'c'}
 
     def test_the_others_follow(self) -> None:
-        fleet = Fleet(1, NAMES, SIZE).begin()
+        fleet = Fleet(1, NAMES, SIZE).form_group()
         fleet.pass_ticks(SOON)
-        assert len({node.packed() for node in fleet.nodes}) == 1
+        assert len({node.packed_state() for node in fleet.nodes}) == 1
 
     def test_a_group_that_is_too_small_grows(self) -> None:
-        fleet = Fleet(1, ('a', 'b', 'c', 'd', 'e'), 3).begin()
+        fleet = Fleet(1, ('a', 'b', 'c', 'd', 'e'), 3).form_group()
         fleet.size = 5
         for node in fleet.nodes:
             node.crash()
@@ -58,7 +58,7 @@
     """A replica that is gone for good loses its place."""
 
     def test_another_one_takes_its_place(self) -> None:
-        fleet = Fleet(1, NAMES, SIZE).begin()
+        fleet = Fleet(1, NAMES, SIZE).form_group()
         gone = next(
             node for node in fleet.nodes[:SIZE] if node is not fleet.leader()
         )
@@ -67,7 +67,7 @@
         assert _counting(fleet.leader()) == set(NAMES) - {gone.name}
 
     def test_a_restart_does_not_cost_it(self) -> None:
-        fleet = Fleet(1, NAMES, SIZE).begin()
+        fleet = Fleet(1, NAMES, SIZE).form_group()
         restarted = next(
             node for node in fleet.nodes[:SIZE] if node is not fleet.leader()
         )
@@ -78,14 +78,14 @@
         assert _counting(fleet.leader()) == {'a', 'b', 'c'}
 
     def test_nobody_takes_it_while_nobody_is_there(self) -> None:
-        fleet = Fleet(1, ('a', 'b', 'c'), SIZE).begin()
+        fleet = Fleet(1, ('a', 'b', 'c'), SIZE).form_group()
         gone = next(node for node in fleet.nodes if node is not fleet.leader())
         gone.crash()
         fleet.pass_ticks(LONG)
         assert _counting(fleet.leader()) == {'a', 'b', 'c'}
 
     def test_one_that_returns_follows(self) -> None:
-        fleet = Fleet(1, NAMES, SIZE).begin()
+        fleet = Fleet(1, NAMES, SIZE).form_group()
         gone = next(
             node for node in fleet.nodes[:SIZE] if node is not fleet.leader()
         )
@@ -94,7 +94,7 @@
         gone.start()
         fleet.pass_ticks(LONG)
         assert len(_counting(fleet.leader())) == SIZE
-        assert len({node.packed() for node in fleet.nodes}) == 1
+        assert len({node.packed_state() for node in fleet.nodes}) == 1
 
     def test_its_place_changes_hands_by_both_majorities(self) -> None:
         """Operators lose a change when a place changes hands in one step.
@@ -113,8 +113,8 @@
         _cut(fleet, 'd', 'b')
         _cut(fleet, 'd', 'c')
         fleet.pass_ticks(LONG)
-        fleet.calm_down()
-        assert len({node.packed() for node in fleet.nodes}) == 1
+        fleet.heal_all()
+        assert len({node.packed_state() for node in fleet.nodes}) == 1
 
     def test_one_that_is_given_up_still_helps_after_a_lost_disk(self) -> None:
         """Operators can change nothing, though two of three disks are whole.
@@ -133,11 +133,11 @@
         fleet.pass_ticks(8)
         lost = fleet.node_by_name['c']
         lost.crash()
-        lost.folder = FakeFolder(fleet.chance)
+        lost.folder = FakeFolder(fleet.rng)
         lost.start()
-        fleet.calm_down()
+        fleet.heal_all()
         assert fleet.leader() is not None
-        assert len({node.packed() for node in fleet.nodes}) == 1
+        assert len({node.packed_state() for node in fleet.nodes}) == 1
 
 
 class TestLostDisk:
@@ -145,13 +145,13 @@
 
     @pytest.mark.parametrize('seed', range(5))
     def test_is_readmitted(self, seed) -> None:
-        fleet = Fleet(seed, ('a', 'b', 'c'), SIZE).begin()
+        fleet = Fleet(seed, ('a', 'b', 'c'), SIZE).form_group()
         lost = fleet.nodes[seed % SIZE]
         lost.crash()
-        lost.folder = FakeFolder(fleet.chance)
+        lost.folder = FakeFolder(fleet.rng)
         lost.start()
         fleet.pass_ticks(LONG)
-        assert fleet.all_count()
+        assert fleet.all_are_voters()
 
     def test_a_second_loss_after_a_power_cut_forgets_nothing(self) -> None:
         """The tables are gone after the first disk was replaced in time.
@@ -161,15 +161,15 @@
         do not remember which changes were accepted; did they still ask the
         first lost disk, they would never elect a leader.
         """
-        fleet = Fleet(3, ('a', 'b', 'c'), SIZE).begin()
+        fleet = Fleet(3, ('a', 'b', 'c'), SIZE).form_group()
         for lost in (fleet.nodes[0], fleet.nodes[1]):
             for node in fleet.nodes:
                 node.crash()
-            lost.folder = FakeFolder(fleet.chance)
+            lost.folder = FakeFolder(fleet.rng)
             for node in fleet.nodes:
                 node.start()
             fleet.pass_ticks(LONG)
-            assert fleet.all_count()
+            assert fleet.all_are_voters()
 
 
 class TestZones:
@@ -181,6 +181,6 @@
         zones = [fleet.node_by_name[name].zone for name in names]
         assert len(set(zones[:SIZE])) == 1
         assert zones[SIZE] not in zones[:SIZE]
-        fleet.begin()
+        fleet.form_group()
         fleet.pass_ticks(LONG)
         assert 'b' in _counting(fleet.leader())
--- a/redwingstream/control/instance.py
+++ b/redwingstream/control/instance.py
@@ -11,7 +11,7 @@
 from redwingstream.consensus.core import Consensus
 from redwingstream.consensus.messages import ReplicaMessage, Voter
 from redwingstream.control.members import MemberService
-from redwingstream.control.replica import Replica, Surroundings
+from redwingstream.control.replica import Replica, ReplicaEnvironment
 from redwingstream.control.service import ControlService
 from redwingstream.control.settings import ControlSettings
 from redwingstream.endpoints import parse_endpoint
@@ -23,7 +23,7 @@
     ProbeAck,
 )
 from redwingstream.storage.folder import Folder
-from redwingstream.storage.store import IDENTITY_BITS, Store
+from redwingstream.storage.store import IDENTITY_BITS, ReplicaStore
 from redwingstream.wire.datagrams import DatagramSocket
 from redwingstream.wire.frames import FrameCodec
 
@@ -48,7 +48,7 @@
         self._codec = FrameCodec(settings.key)
         self._failure: asyncio.Future[None] = loop.create_future()
         self._datagrams: DatagramSocket | None = None
-        surroundings = Surroundings(
+        surroundings = ReplicaEnvironment(
             self._send, loop.time, loop.call_soon, self._fail
         )
         self._replica = _make_replica(settings, folder, surroundings)
@@ -105,7 +105,7 @@
         logging.info('control: handing over leadership.')
         deadline = self._clock() + self._timing.election_max
         pause = self._timing.heartbeat / _TICKS_PER_HEARTBEAT
-        self._replica.step(events.HandOverAsked())
+        self._replica.step(events.HandOverRequested())
         while self._replica.consensus.is_leader and self._clock() < deadline:
             await asyncio.sleep(pause)
             self._replica.step(events.Ticked())
@@ -124,9 +124,9 @@
 
 
 def _make_replica(
-    settings: ControlSettings, folder: Folder, surroundings: Surroundings
+    settings: ControlSettings, folder: Folder, surroundings: ReplicaEnvironment
 ) -> Replica:
-    store = Store(folder)
+    store = ReplicaStore(folder)
     loaded = store.load(partial(secrets.randbits, IDENTITY_BITS))
     consensus = Consensus(
         Voter(str(settings.endpoint), loaded.identity),
--- a/redwingstream/control/members.py
+++ b/redwingstream/control/members.py
@@ -10,7 +10,7 @@
 from redwingstream.membership.checks import why_malformed
 from redwingstream.membership.leases import (
     Admitted,
-    Admitting,
+    AdmissionGranted,
     Challenged,
     HeldBack,
     Leases,
@@ -23,8 +23,8 @@
     Heartbeat,
     HeartbeatAck,
 )
-from redwingstream.tables.machine.machine import Outcome
-from redwingstream.tables.machine.views import why_kept_out
+from redwingstream.tables.machine.machine import CommandResult
+from redwingstream.tables.machine.views import exclusion_reason
 from redwingstream.tables.rows import Member
 
 Reply = Callable[[object], None]
@@ -80,7 +80,7 @@
                 reply(self._refusal(_held_back_text(announce, seconds)))
             case NameTaken(endpoint=endpoint):
                 reply(self._refusal(_taken_text(announce, endpoint)))
-            case Admitting(command=command):
+            case AdmissionGranted(command=command):
                 self._propose(command, reply)
 
     def on_heartbeat(self, beat: Heartbeat, boot: int, reply: Reply) -> None:
@@ -104,12 +104,12 @@
         if leases is None:
             return
         state = self._replica.machine.state
-        leases.forget(state.member_by_host)
+        leases.retain_only(state.member_by_host)
         members = state.member_by_host.values()
-        for removal in leases.expired(members, self._clock()):
+        for removal in leases.due_removals(members, self._clock()):
             logging.info('control: member %s is silent.', removal.host)
             self._propose(removal)
-        for settled in leases.settled(state.view_by_pool.values()):
+        for settled in leases.due_settlements(state.view_by_pool.values()):
             self._propose(settled)
 
     def _current_leases(self) -> Leases | None:
@@ -131,7 +131,7 @@
         if command in self._under_way:
             return
 
-        def done(outcome: Outcome | RedwingstreamError) -> None:
+        def done(outcome: CommandResult | RedwingstreamError) -> None:
             self._under_way.discard(command)
             if reply is not None and isinstance(outcome, Member):
                 reply(self._ack(outcome))
@@ -148,7 +148,7 @@
             member.incarnation,
             state.revision,
             self._replica.consensus.leader,
-            why_kept_out(state, member),
+            exclusion_reason(state, member),
         )
 
     def _ack_elsewhere(self, known: Member | None, boot: int) -> HeartbeatAck:
--- a/redwingstream/control/recovery.py
+++ b/redwingstream/control/recovery.py
@@ -9,10 +9,10 @@
 from redwingstream.errors import ResultCode, SettingError, StorageError
 from redwingstream.storage.disk import open_folder
 from redwingstream.storage.folder import Folder
-from redwingstream.storage.store import Loaded, Store
-from redwingstream.tables.machine.machine import Machine
+from redwingstream.storage.store import LoadedState, ReplicaStore
+from redwingstream.tables.machine.machine import StateMachine
 from redwingstream.tables.machine.state import MachineState
-from redwingstream.tables.machine.views import MAX_UNSETTLED, unknown_view
+from redwingstream.tables.machine.views import MAX_UNSETTLED_VIEWS, unknown_view
 from redwingstream.tables.rows import EarlierView, PoolView
 
 MOVED_AHEAD = 1000000
@@ -36,7 +36,7 @@
     config_revision: int
 
 
-def recover_alone(
+def recover_single_replica(
     settings: ControlSettings, confirmed: int | None
 ) -> Recovered:
     """Make the replica of a data folder the only one that counts.
@@ -85,7 +85,7 @@
     loaded, machine = _load(folder)
     snapshot = _last_snapshot(loaded, machine, Voter(name, loaded.identity))
     hard_state = HardState(loaded.hard_state.term + 1, '')
-    Store(folder).save_snapshot(snapshot, hard_state, ())
+    ReplicaStore(folder).save_snapshot(snapshot, hard_state, ())
     logging.warning(
         'control: recovered alone at index %d by operators.', snapshot.index
     )
@@ -93,8 +93,8 @@
     return Recovered(snapshot.index, state.revision, state.config_revision)
 
 
-def _load(folder: Folder) -> tuple[Loaded, Machine]:
-    loaded = Store(folder).load(int)
+def _load(folder: Folder) -> tuple[LoadedState, StateMachine]:
+    loaded = ReplicaStore(folder).load(int)
     if loaded.snapshot is None:
         raise StorageError(
             'this data folder holds no replica of a group; recover the '
@@ -121,8 +121,8 @@
     )
 
 
-def _apply_all(loaded: Loaded) -> Machine:
-    machine = Machine()
+def _apply_all(loaded: LoadedState) -> StateMachine:
+    machine = StateMachine()
     machine.load(loaded.snapshot.state)
     for entry in loaded.entries:
         machine.apply(entry)
@@ -130,7 +130,7 @@
 
 
 def _last_snapshot(
-    loaded: Loaded, machine: Machine, survivor: Voter
+    loaded: LoadedState, machine: StateMachine, survivor: Voter
 ) -> Snapshot:
     last = loaded.entries[-1] if loaded.entries else loaded.snapshot
     index = last.index + MOVED_AHEAD
@@ -159,4 +159,4 @@
     unknown = unknown_view(index - 1)
     latest = EarlierView(view.number, view.members)
     chain = (unknown, latest, *view.unsettled)
-    return PoolView(view.pool, index, view.members, chain[:MAX_UNSETTLED])
+    return PoolView(view.pool, index, view.members, chain[:MAX_UNSETTLED_VIEWS])
--- a/redwingstream/control/replica.py
+++ b/redwingstream/control/replica.py
@@ -23,8 +23,8 @@
     ResultCode,
     StorageError,
 )
-from redwingstream.storage.store import Loaded, Store
-from redwingstream.tables.machine.machine import Machine, Outcome
+from redwingstream.storage.store import LoadedState, ReplicaStore
+from redwingstream.tables.machine.machine import StateMachine, CommandResult
 from redwingstream.wire import messages
 
 _logger = logging.getLogger(__name__)
@@ -32,11 +32,11 @@
 SNAPSHOT_EVERY = 1000
 KEPT_ENTRIES = 500
 
-Done = Callable[[Outcome | RedwingstreamError], None]
+Done = Callable[[CommandResult | RedwingstreamError], None]
 
 
 @attrs.frozen
-class Surroundings:
+class ReplicaEnvironment:
     """What a replica needs from outside.
 
     Parameters
@@ -55,7 +55,7 @@
     send: Callable[[Outgoing], None]
     clock: Callable[[], float]
     schedule: Callable[[Callable[[], None]], object]
-    failed: Callable[[StorageError], None]
+    on_storage_failure: Callable[[StorageError], None]
 
 
 @attrs.frozen
@@ -101,13 +101,13 @@
     def __init__(
         self,
         consensus: Consensus,
-        store: Store,
-        loaded: Loaded,
-        surroundings: Surroundings,
+        store: ReplicaStore,
+        loaded: LoadedState,
+        surroundings: ReplicaEnvironment,
         snapshot_rule: SnapshotRule = DEFAULT_SNAPSHOT_RULE,
     ) -> None:
         self.consensus = consensus
-        self.machine = Machine()
+        self.machine = StateMachine()
         self._store = store
         self._around = surroundings
         self._snapshot_rule = snapshot_rule
@@ -217,7 +217,7 @@
         self._stopped = True
         _logger.error('control: storage failed, this replica stops. %s', error)
         self._give_up_waiters()
-        self._around.failed(error)
+        self._around.on_storage_failure(error)
 
     def _apply(self, effects: Effects) -> None:
         installed = 0
--- a/redwingstream/control/opening.py
+++ b/redwingstream/control/replica_factory.py
@@ -8,10 +8,10 @@
 
 from redwingstream.consensus.core import Consensus
 from redwingstream.consensus.messages import Voter
-from redwingstream.consensus.state import Sizing, Timing
-from redwingstream.control.replica import Replica, Surroundings
+from redwingstream.consensus.state import GroupPolicy, Timing
+from redwingstream.control.replica import Replica, ReplicaEnvironment
 from redwingstream.storage.folder import Folder
-from redwingstream.storage.store import IDENTITY_BITS, Store
+from redwingstream.storage.store import IDENTITY_BITS, ReplicaStore
 
 
 @attrs.frozen
@@ -22,8 +22,8 @@
     replica: Replica
 
 
-def make_replica(
-    folder: Folder, name: str, sizing: Sizing, around: Surroundings
+def open_replica(
+    folder: Folder, name: str, sizing: GroupPolicy, around: ReplicaEnvironment
 ) -> OpenedReplica:
     """Read a data folder, or begin with an empty one.
 
@@ -43,7 +43,7 @@
     StorageError
         When the folder cannot be read or written.
     """
-    store = Store(folder)
+    store = ReplicaStore(folder)
     loaded = store.load(partial(secrets.randbits, IDENTITY_BITS))
     consensus = Consensus(
         Voter(name, loaded.identity),
--- a/redwingstream/control/service.py
+++ b/redwingstream/control/service.py
@@ -20,7 +20,7 @@
     ReadTables,
     TablesRead,
 )
-from redwingstream.tables.machine.machine import Outcome
+from redwingstream.tables.machine.machine import CommandResult
 from redwingstream.tables.messages import (
     FetchTables,
 )
@@ -87,9 +87,9 @@
 
         return await self._wait(start)
 
-    async def _wait(self, start: Callable[[Done], None]) -> Outcome:
+    async def _wait(self, start: Callable[[Done], None]) -> CommandResult:
         loop = asyncio.get_running_loop()
-        future: asyncio.Future[Outcome] = loop.create_future()
+        future: asyncio.Future[CommandResult] = loop.create_future()
         start(_resolver(future))
         try:
             async with asyncio.timeout(self._timeout):
@@ -128,8 +128,8 @@
         )
 
 
-def _resolver(future: asyncio.Future[Outcome]) -> Done:
-    def done(outcome: Outcome | RedwingstreamError) -> None:
+def _resolver(future: asyncio.Future[CommandResult]) -> Done:
+    def done(outcome: CommandResult | RedwingstreamError) -> None:
         if future.done():
             return
         if isinstance(outcome, RedwingstreamError):
--- a/redwingstream/control/tests/fakes.py
+++ b/redwingstream/control/tests/fakes.py
@@ -10,22 +10,26 @@
     GroupFounded,
     Outgoing,
     Peer,
-    PeersHeard,
+    PeersUpdated,
     Received,
     Ticked,
 )
 from redwingstream.consensus.log import READMIT_KIND, Log
 from redwingstream.consensus.messages import Entry, Voter
-from redwingstream.consensus.state import Sizing, Timing
-from redwingstream.control.replica import Replica, SnapshotRule, Surroundings
+from redwingstream.consensus.state import GroupPolicy, Timing
+from redwingstream.control.replica import (
+    Replica,
+    SnapshotRule,
+    ReplicaEnvironment,
+)
 from redwingstream.errors import CallFailedError, ResultCode, StorageError
-from redwingstream.storage.store import Loaded, Store
+from redwingstream.storage.store import LoadedState, ReplicaStore
 from redwingstream.storage.tests.fakes import FakeFolder, PowerCutError
 from redwingstream.tables.edits import (
     ChangeAnswer,
     ChangeRequest,
 )
-from redwingstream.tables.machine.machine import Machine
+from redwingstream.tables.machine.machine import StateMachine
 from redwingstream.wire import messages
 
 TICK = 0.05
@@ -41,7 +45,7 @@
     outgoing: Outgoing
 
 
-class Witness:
+class HistoryChecker:
     """Sees every entry that any replica applies, and never forgets."""
 
     def __init__(self) -> None:
@@ -54,7 +58,7 @@
         self.answer_by_request: dict[str, ChangeAnswer] = {}
         self.winner_by_revision: dict[int, str] = {}
 
-    def see_entry(self, entry: Entry, state: bytes) -> None:
+    def check_entry(self, entry: Entry, state: bytes) -> None:
         """Two replicas never apply different entries at one index."""
         assert self.entry_by_index.setdefault(entry.index, entry) == entry
         assert self.state_by_index.setdefault(entry.index, state) == state
@@ -65,18 +69,18 @@
             self.group.pop(change.instead_of, None)
             self.group[change.voter.name] = change.voter.identity
 
-    def see_joining(self, log: Log) -> None:
+    def record_joining(self, log: Log) -> None:
         """A replica that some log is about to count is one to rely on."""
         joining = log.joining
         if joining and log.group_change_after(self.group_index):
             voter = joining.voter
             self.joining.setdefault(voter.name, voter.identity)
 
-    def see_leader(self, term: int, name: str) -> None:
+    def check_leader(self, term: int, name: str) -> None:
         """No term has two leaders."""
         assert self.leader_by_term.setdefault(term, name) == name
 
-    def see_answer(self, request: ChangeRequest, answer: object) -> None:
+    def check_answer(self, request: ChangeRequest, answer: object) -> None:
         """A request has one answer, and a revision one winner."""
         if not isinstance(answer, ChangeAnswer):
             return
@@ -89,15 +93,15 @@
             assert winner == request.request_id
 
 
-class WitnessedMachine(Machine):
+class WitnessedMachine(StateMachine):
     """A state machine that shows the witness what it applies."""
 
-    witness: Witness
+    witness: HistoryChecker
 
     def apply(self, entry: Entry) -> object:
         """Apply an entry and report it."""
         outcome = super().apply(entry)
-        self.witness.see_entry(entry, self.pack())
+        self.witness.check_entry(entry, self.pack())
         return outcome
 
 
@@ -108,7 +112,7 @@
         self.name = name
         self.zone = f'zone-{ord(name[0]) % 3}'
         self.fleet = fleet
-        self.folder = FakeFolder(fleet.chance)
+        self.folder = FakeFolder(fleet.rng)
         self.replica: Replica | None = None
         self.identity = 0
         self.frozen = False
@@ -116,9 +120,9 @@
 
     def start(self) -> None:
         """Read the disk and run, unless the power goes over it."""
-        store = Store(self.folder)
+        store = ReplicaStore(self.folder)
         try:
-            loaded = store.load(lambda: self.fleet.chance.getrandbits(60) | 1)
+            loaded = store.load(lambda: self.fleet.rng.getrandbits(60) | 1)
         except PowerCutError:
             self.crash()
         else:
@@ -140,7 +144,7 @@
     def tick(self) -> None:
         """Let the replica look at its timers."""
         if self.fleet.size:
-            heard = PeersHeard(self.fleet.peers_of(self.name))
+            heard = PeersUpdated(self.fleet.peers_of(self.name))
             self.run(lambda replica: replica.step(heard))
         self.run(lambda replica: replica.step(Ticked()))
 
@@ -154,32 +158,32 @@
         """Return the configuration revision that it has applied."""
         return self.replica.machine.state.config_revision
 
-    def packed(self) -> bytes:
+    def packed_state(self) -> bytes:
         """Return the state that it has applied."""
         return self.replica.machine.pack()
 
-    def _run_from(self, store: Store, loaded: Loaded) -> None:
+    def _run_from(self, store: ReplicaStore, loaded: LoadedState) -> None:
         fleet = self.fleet
         self.identity = loaded.identity
         consensus = Consensus(
             Voter(self.name, loaded.identity),
             () if fleet.size else fleet.names,
             Timing(),
-            fleet.chance,
+            fleet.rng,
             fleet.now,
-            Sizing(fleet.size, self.zone),
+            GroupPolicy(fleet.size, self.zone),
         )
-        around = Surroundings(
+        around = ReplicaEnvironment(
             send=lambda out: fleet.flying.append(Sent(self.name, out)),
             clock=lambda: fleet.now,
             schedule=lambda run: run(),
-            failed=self.failures.append,
+            on_storage_failure=self.failures.append,
         )
         self.replica = Replica(
             consensus, store, loaded, around, SnapshotRule(every=8, kept=3)
         )
         machine = WitnessedMachine()
-        machine.witness = fleet.witness
+        machine.witness = fleet.checker
         machine.state = self.replica.machine.state
         self.replica.machine = machine
 
@@ -202,15 +206,15 @@
     ) -> None:
         self.names = names
         self.size = size
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now: float = 0
         self.flying: list[Sent] = []
-        self.cut: set[tuple[str, str]] = set()
-        self.witness = Witness()
+        self.cut_links: set[tuple[str, str]] = set()
+        self.checker = HistoryChecker()
         self.node_by_name = {name: Node(name, self) for name in names}
         for node in self.nodes:
             node.start()
-        self.witness.group = self.identity_by_name()
+        self.checker.group = self.identity_by_name()
         if size:
             _found(self)
 
@@ -227,23 +231,23 @@
                 node.tick()
         flying = self.flying
         self.flying = []
-        self.chance.shuffle(flying)
+        self.rng.shuffle(flying)
         for sent in flying:
             self._pass_on(sent, loss, repeat)
-        self.see_leaders()
+        self.check_leaders()
 
     def identity_by_name(self) -> dict[str, int]:
         """Return the identities on the disks."""
         return {node.name: node.identity for node in self.nodes}
 
-    def see_leaders(self) -> None:
+    def check_leaders(self) -> None:
         """Show all leaders to the witness."""
         for node in self.nodes:
             if node.replica is not None:
-                self.witness.see_joining(node.replica.consensus.log)
+                self.checker.record_joining(node.replica.consensus.log)
             if node.replica is not None and node.replica.consensus.is_leader:
                 term = node.replica.consensus.term
-                self.witness.see_leader(term, node.name)
+                self.checker.check_leader(term, node.name)
 
     def propose(self, name: str, request: ChangeRequest) -> None:
         """Ask one replica for a change."""
@@ -252,7 +256,7 @@
             try:
                 replica.propose(
                     request,
-                    lambda answer: self.witness.see_answer(request, answer),
+                    lambda answer: self.checker.check_answer(request, answer),
                 )
             except CallFailedError:
                 return
@@ -261,18 +265,18 @@
         if not node.frozen:
             node.run(act)
 
-    def all_count(self) -> bool:
+    def all_are_voters(self) -> bool:
         """Whether every disk is one that counts for a majority."""
-        return self.witness.group == self.identity_by_name()
+        return self.checker.group == self.identity_by_name()
 
     def pass_ticks(self, count: int) -> None:
         """Let time pass without any fault of the network."""
         for _ in range(count):
             self.pass_tick(loss=0, repeat=0)
 
-    def begin(self) -> 'Fleet':
+    def form_group(self) -> 'Fleet':
         """Form the group and wait for its first leader."""
-        while not self.witness.entry_by_index:
+        while not self.checker.entry_by_index:
             self.pass_ticks(1)
         return self
 
@@ -288,11 +292,11 @@
     def isolate(self, name: str) -> None:
         """Cut a replica off from the others, both ways."""
         for other in self.names:
-            self.cut.update({(name, other), (other, name)})
+            self.cut_links.update({(name, other), (other, name)})
 
-    def calm_down(self) -> None:
+    def heal_all(self) -> None:
         """Mend everything, and wait until all is agreed."""
-        self.cut.clear()
+        self.cut_links.clear()
         for node in self.nodes:
             node.frozen = False
             node.folder.operations_left = None
@@ -316,20 +320,20 @@
             if node.name != own
             and node.replica is not None
             and not node.frozen
-            and (node.name, own) not in self.cut
+            and (node.name, own) not in self.cut_links
         )
 
     def _pass_on(self, sent: Sent, loss: float, repeat: float) -> None:
-        if self.chance.random() < loss:
-            is_delayed = self.chance.getrandbits(1)
+        if self.rng.random() < loss:
+            is_delayed = self.rng.getrandbits(1)
             self.flying.extend((sent,) if is_delayed else ())
             return
         self._deliver(sent)
-        if self.chance.random() < repeat:
+        if self.rng.random() < repeat:
             self.flying.append(sent)
 
     def _deliver(self, sent: Sent) -> None:
-        if (sent.source, sent.outgoing.target) in self.cut:
+        if (sent.source, sent.outgoing.target) in self.cut_links:
             return
         node = self.node_by_name.get(sent.outgoing.target)
         if node is None:
@@ -351,7 +355,7 @@
     """Let the first replicas be the group."""
     founders = fleet.nodes[: fleet.size]
     group = tuple(Voter(node.name, node.identity) for node in founders)
-    fleet.witness.group = {node.name: node.identity for node in founders}
+    fleet.checker.group = {node.name: node.identity for node in founders}
     founded = GroupFounded(group)
     for node in founders:
         node.found(founded)
--- a/redwingstream/control/tests/test_members.py
+++ b/redwingstream/control/tests/test_members.py
@@ -30,7 +30,7 @@
     """A fleet, the service for members at its leader, and its agents."""
 
     def __init__(self) -> None:
-        self.fleet = Fleet(seed=5).begin()
+        self.fleet = Fleet(seed=5).form_group()
         self.leader = self.fleet.leader()
         request = ChangeRequest('r', 0, Edits(set_pools=(POOL,)))
         self.fleet.propose(self.leader.name, request)
--- a/redwingstream/control/tests/test_recovery.py
+++ b/redwingstream/control/tests/test_recovery.py
@@ -6,7 +6,7 @@
 
 from redwingstream.consensus.events import HardState
 from redwingstream.consensus.messages import Entry, Snapshot, Voter
-from redwingstream.control.recovery import MOVED_AHEAD, recover_alone
+from redwingstream.control.recovery import MOVED_AHEAD, recover_single_replica
 from redwingstream.control.settings import ControlSettings
 from redwingstream.endpoints import Endpoint
 from redwingstream.errors import SettingError
@@ -14,14 +14,14 @@
 from redwingstream.placement.keeper import BucketKeeper
 from redwingstream.placement.tests.fakes import MemoryStore
 from redwingstream.storage.disk import open_folder
-from redwingstream.storage.store import Loaded, Store
+from redwingstream.storage.store import LoadedState, ReplicaStore
 from redwingstream.tables.edits import (
     ChangeRequest,
     Edits,
     SetPool,
     SetZone,
 )
-from redwingstream.tables.machine.machine import Machine
+from redwingstream.tables.machine.machine import StateMachine
 from redwingstream.tables.machine.messages import AdmitMember
 from redwingstream.tables.rows import Pool, Role, ZoneMark
 from redwingstream.wire import messages
@@ -51,17 +51,17 @@
     ]
     group = tuple(Voter(f'10.0.1.{number}:7000', number) for number in (1, 2))
     with open_folder(tmp_path) as folder:
-        store = Store(folder)
+        store = ReplicaStore(folder)
         store.load(lambda: 1)
         hard_state = HardState(3, '')
         store.save_snapshot(Snapshot(0, 0, group, b''), hard_state, entries)
     return ControlSettings('c1', ENDPOINT, 'carse', tmp_path, (ENDPOINT,), b'')
 
 
-def load(settings: ControlSettings) -> Loaded:
+def load(settings: ControlSettings) -> LoadedState:
     """Return what the folder holds now."""
     with open_folder(settings.data_folder) as folder:
-        return Store(folder).load(int)
+        return ReplicaStore(folder).load(int)
 
 
 class TestRecoverAlone:
@@ -76,7 +76,7 @@
         """
         before = load(settings)
         with pytest.raises(SettingError, match='maipu') as caught:
-            recover_alone(settings, confirmed)
+            recover_single_replica(settings, confirmed)
         assert '--lose-changes-after 1;' in str(caught.value)
         assert load(settings) == before
 
@@ -86,7 +86,7 @@
         They had taken up revisions that the survivor had never seen, so its
         tables looked older to them, and agents fenced its views.
         """
-        recovered = recover_alone(settings, 1)
+        recovered = recover_single_replica(settings, 1)
         assert (
             recovered.revision == recovered.config_revision == recovered.index
         )
@@ -104,13 +104,13 @@
         every record.  An earlier view that nobody can be asked about stands
         for the lost ones, so that homes treat what may be a replay as one.
         """
-        recover_alone(settings, 1)
-        machine = Machine()
+        recover_single_replica(settings, 1)
+        machine = StateMachine()
         machine.load(load(settings).snapshot.state)
         view = machine.state.view_by_pool['sward-live']
         assert view.number == 2 + MOVED_AHEAD
         keeper = BucketKeeper('sward-1', 2, view.pool, MemoryStore(), 247)
-        keeper.adopt(view, 0)
+        keeper.apply_view(view, 0)
         for second in range(247):
             keeper.tick(second)
         assert isinstance(keeper.status(0), Recovering)
--- a/redwingstream/control/tests/test_replica.py
+++ b/redwingstream/control/tests/test_replica.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from redwingstream.consensus.events import HandOverAsked, Received
+from redwingstream.consensus.events import HandOverRequested, Received
 from redwingstream.consensus.messages import AppendAnswer, Voter
 from redwingstream.control.recovery import recover_folder
 from redwingstream.control.replica import Replica
@@ -29,13 +29,13 @@
 @pytest.fixture
 def fleet() -> Fleet:
     """Three replicas with a leader."""
-    return Fleet(seed=1).begin()
+    return Fleet(seed=1).form_group()
 
 
 def lose_disk(fleet: Fleet, node: Node) -> None:
     """Start a replica with an empty folder."""
     node.crash()
-    node.folder = FakeFolder(fleet.chance)
+    node.folder = FakeFolder(fleet.rng)
     node.start()
 
 
@@ -97,7 +97,7 @@
         fleet.pass_ticks(SECOND)
         assert again[0].code == ResultCode.OK
         assert again[0] in answers or not answers
-        fleet.calm_down()
+        fleet.heal_all()
         assert all(zone_is_out(node) for node in fleet.nodes)
 
     def test_no_answer_before_a_majority_has_synced(self, fleet: Fleet) -> None:
@@ -113,7 +113,7 @@
         fleet.pass_ticks(3 * SECOND)
         assert [type(answer) for answer in answers] == [CallFailedError]
         assert answers[0].code is ResultCode.NO_QUORUM
-        fleet.calm_down()
+        fleet.heal_all()
         assert not any(zone_is_out(node) for node in fleet.nodes)
 
     def test_an_entry_synced_by_a_majority_survives_its_leader(
@@ -179,7 +179,7 @@
             propose(first)
         assert fleet.leader() is not None
         first.crash()
-        fleet.calm_down()
+        fleet.heal_all()
         again = propose(fleet.leader())
         fleet.pass_ticks(SECOND)
         assert again[0].code == ResultCode.OK
@@ -206,7 +206,7 @@
         fleet.now += 3600
         fleet.pass_ticks(3 * SECOND)
         second_term = fleet.leader().replica.consensus.term
-        fleet.cut.clear()
+        fleet.cut_links.clear()
         fleet.pass_ticks(3 * SECOND)
         assert fleet.leader().replica.consensus.term == second_term
         assert second_term >= term
@@ -224,7 +224,7 @@
         first = fleet.leader()
         for other in followers(fleet):
             pair = (first.name, other.name)
-            fleet.cut.add(pair if outward else tuple(reversed(pair)))
+            fleet.cut_links.add(pair if outward else tuple(reversed(pair)))
         fleet.pass_ticks(4 * SECOND)
         assert fleet.leader() is not first
         assert not first.replica.consensus.is_leader
@@ -267,7 +267,7 @@
         without waiting for a timeout.
         """
         first = fleet.leader()
-        first.run(lambda replica: replica.step(HandOverAsked()))
+        first.run(lambda replica: replica.step(HandOverRequested()))
         fleet.pass_ticks(4)
         assert fleet.leader() is not first
 
@@ -295,9 +295,9 @@
         fleet.pass_ticks(SECOND)
         for node in fleet.nodes:
             lose_disk(fleet, node)
-            while not fleet.all_count():
+            while not fleet.all_are_voters():
                 fleet.pass_ticks(1)
-        fleet.calm_down()
+        fleet.heal_all()
         assert all(zone_is_out(node) for node in fleet.nodes)
 
     def test_gives_no_vote_for_what_it_has_forgotten(
@@ -318,10 +318,10 @@
         assert answers[0].code == ResultCode.OK
         first.crash()
         lose_disk(fleet, knows)
-        fleet.cut.clear()
+        fleet.cut_links.clear()
         fleet.pass_ticks(30 * SECOND)
         assert fleet.leader() is None
-        fleet.calm_down()
+        fleet.heal_all()
         assert all(zone_is_out(node) for node in fleet.nodes)
 
     def test_does_not_help_a_leader_that_was_replaced(
@@ -345,12 +345,12 @@
         assert answers[0].code == ResultCode.OK
         lost = next(node for node in fleet.nodes if node not in {old, new})
         lose_disk(fleet, lost)
-        fleet.cut.clear()
+        fleet.cut_links.clear()
         fleet.isolate(new.name)
         old.frozen = False
         fleet.pass_ticks(30 * SECOND)
         assert fleet.leader() in {None, new}
-        fleet.calm_down()
+        fleet.heal_all()
         assert all(zone_is_out(node) for node in fleet.nodes)
 
     def test_does_not_complete_a_majority_beside_a_newer_leader(
@@ -380,14 +380,14 @@
         assert answers[0].code == ResultCode.OK
         lost = next(node for node in followers(fleet) if node is not old)
         lose_disk(fleet, lost)
-        fleet.cut.clear()
+        fleet.cut_links.clear()
         fleet.isolate(new.name)
         for _ in range(10 * SECOND):
             deliver_late(
                 old, [sent for sent in late if sent.source == new.name]
             )
             fleet.pass_ticks(1)
-        fleet.calm_down()
+        fleet.heal_all()
         assert all(zone_is_out(node) for node in fleet.nodes)
 
     def test_a_majority_of_lost_disks_invents_nothing(
@@ -425,7 +425,7 @@
         left.start()
         for node in lost:
             lose_disk(fleet, node)
-        fleet.calm_down()
+        fleet.heal_all()
         assert all(zone_is_out(node) for node in fleet.nodes)
         group = left.replica.consensus.log.group
         assert group == tuple(
@@ -454,7 +454,7 @@
         fleet.node_by_name['c'].crash()
         fleet.pass_ticks(10 * SECOND)
         assert fleet.leader() is None
-        fleet.calm_down()
+        fleet.heal_all()
         assert fleet.leader() is not None
 
     @pytest.mark.parametrize('operations', range(8))
@@ -463,7 +463,7 @@
         for node in fleet.nodes:
             node.folder.operations_left = operations
         fleet.pass_ticks(SECOND)
-        fleet.calm_down()
+        fleet.heal_all()
         assert fleet.leader() is not None
 
     def test_all_restart_at_once(self, fleet: Fleet) -> None:
@@ -472,7 +472,7 @@
         fleet.pass_ticks(SECOND)
         for node in fleet.nodes:
             node.crash()
-        fleet.calm_down()
+        fleet.heal_all()
         assert all(zone_is_out(node) for node in fleet.nodes)
         answers = propose(fleet.leader())
         fleet.pass_ticks(SECOND)
@@ -488,7 +488,7 @@
         elected and heard before it knows.  Balancers that were told then that
         the tables are the newest refused each route for a tenth of a second.
         """
-        fleet = Fleet(seed).begin()
+        fleet = Fleet(seed).form_group()
         propose(fleet.leader())
         fleet.pass_ticks(SECOND)
         for node in fleet.nodes:
--- a/redwingstream/directory/inquiry.py
+++ b/redwingstream/directory/inquiry.py
@@ -234,7 +234,7 @@
         return InquiryResult(tuple(agents), has_new_tables)
 
     def _apply_update(self, report: Report) -> bool:
-        has_new_tables = bool(report.update) and self.history.take(
+        has_new_tables = bool(report.update) and self.history.apply_update(
             unpack_update(report.update)
         )
         if has_new_tables and self.history.tables.revision == report.revision:
--- a/redwingstream/directory/tests/test_inquiry.py
+++ b/redwingstream/directory/tests/test_inquiry.py
@@ -19,7 +19,7 @@
     Wanted,
 )
 from redwingstream.packets.flow import Address
-from redwingstream.tables.machine.machine import Machine
+from redwingstream.tables.machine.machine import StateMachine
 
 CONTROL = Address(101)
 CONTROLS = tuple(map(Address, range(101, 113)))
@@ -58,7 +58,7 @@
         assert inquirer.confirmed_at == float('-inf')
 
     def test_comes_with_the_newest_tables(self) -> None:
-        machine = Machine()
+        machine = StateMachine()
         machine.state.revision = REVISION
         update = pack_update(machine.update_since(0))
         inquirer = Inquirer((CONTROL,), '', 0)
--- a/redwingstream/fleet/control.py
+++ b/redwingstream/fleet/control.py
@@ -160,12 +160,14 @@
         if replica is None:
             history = self._inquirer.history
             age = now - self._inquirer.confirmed_at
-            return TableSource(history.tables.revision, age, history.since)
+            return TableSource(
+                history.tables.revision, age, history.update_since
+            )
         machine = replica.machine
         recorded = self.replication.fleet_records.history
         if machine.state.revision < recorded.tables.revision:
             return TableSource(
-                recorded.tables.revision, float('inf'), recorded.since
+                recorded.tables.revision, float('inf'), recorded.update_since
             )
         age = replica.consensus.confirmed_age(now)
         return TableSource(machine.state.revision, age, machine.update_since)
--- a/redwingstream/fleet/fleet_record_store.py
+++ b/redwingstream/fleet/fleet_record_store.py
@@ -92,7 +92,7 @@
         try:
             record = unpack_record(FILE_NAME, folder.read(FILE_NAME))
             if record.tables:
-                self.history.take(unpack_update(record.tables))
+                self.history.apply_update(unpack_update(record.tables))
         except RedwingstreamError as error:
             # The record is optional: without it, the start is only slower.
             self._log(FleetRecordFailed('read', str(error)))
--- a/redwingstream/fleet/outcomes.py
+++ b/redwingstream/fleet/outcomes.py
@@ -7,7 +7,7 @@
     RedwingstreamError,
     ResultCode,
 )
-from redwingstream.tables.machine.machine import Outcome
+from redwingstream.tables.machine.machine import CommandResult
 
 CHANGE_TIMEOUT = 3.0
 """Seconds that a change may wait for a majority until its sender is told that
@@ -21,7 +21,7 @@
         loop = asyncio.get_running_loop()
         self._future: asyncio.Future[None] = loop.create_future()
 
-    def set_outcome(self, outcome: Outcome | RedwingstreamError) -> None:
+    def set_outcome(self, outcome: CommandResult | RedwingstreamError) -> None:
         """Set the outcome; later ones are ignored."""
         if self._future.done():
             return
--- a/redwingstream/fleet/replication.py
+++ b/redwingstream/fleet/replication.py
@@ -6,9 +6,9 @@
 
 from redwingstream.consensus import events
 from redwingstream.consensus.messages import ReplicaMessage, Voter
-from redwingstream.consensus.state import Sizing
-from redwingstream.control.opening import make_replica
-from redwingstream.control.replica import Replica, Surroundings
+from redwingstream.consensus.state import GroupPolicy
+from redwingstream.control.replica_factory import open_replica
+from redwingstream.control.replica import Replica, ReplicaEnvironment
 from redwingstream.directory.messages import ReplicaName
 from redwingstream.endpoints import parse_endpoint
 from redwingstream.errors import (
@@ -24,7 +24,7 @@
 from redwingstream.fleet.process import Process, ProcessReady
 from redwingstream.packets.flow import Address
 from redwingstream.storage.disk import DiskFolder, open_folder
-from redwingstream.tables.machine.machine import Outcome
+from redwingstream.tables.machine.machine import CommandResult
 from redwingstream.telemetry.histogram import Histogram
 
 REOPEN_AFTER = 0.5
@@ -164,7 +164,7 @@
             self._open(now)
         if self.replica is not None and peers != self._peers:
             self._peers = peers
-            self.replica.step(events.PeersHeard(peers))
+            self.replica.step(events.PeersUpdated(peers))
         if self.replica is not None:
             self.replica.step(events.Ticked())
             self._log_role(self.replica)
@@ -264,7 +264,7 @@
         if replica is None or not replica.consensus.is_leader:
             return
         deadline = self._process.clock() + HAND_OVER_TIMEOUT
-        replica.step(events.HandOverAsked())
+        replica.step(events.HandOverRequested())
         while replica.consensus.is_leader and self._process.clock() < deadline:
             await asyncio.sleep(HAND_OVER_POLL_INTERVAL)
 
@@ -289,14 +289,14 @@
     def _start(self, folder: DiskFolder) -> None:
         deployment = self._process.deployment
         loop = asyncio.get_running_loop()
-        surroundings = Surroundings(
+        surroundings = ReplicaEnvironment(
             self._send_outgoing,
             loop.time,
             loop.call_soon,
             self._handle_disk_error,
         )
-        sizing = Sizing(deployment.group_size, deployment.zone)
-        made = make_replica(folder, str(self._endpoint), sizing, surroundings)
+        sizing = GroupPolicy(deployment.group_size, deployment.zone)
+        made = open_replica(folder, str(self._endpoint), sizing, surroundings)
         self._identity = made.identity
         self.replica = made.replica
         self._folder = folder
@@ -341,5 +341,5 @@
     await waiter.wait()
 
 
-def _ignore_outcome(outcome: Outcome | RedwingstreamError) -> None:
+def _ignore_outcome(outcome: CommandResult | RedwingstreamError) -> None:
     """Ignore an outcome: that of the last command stands for all."""
--- a/redwingstream/fleet/tests/test_control.py
+++ b/redwingstream/fleet/tests/test_control.py
@@ -17,7 +17,7 @@
 )
 from redwingstream.packets.flow import address_of
 from redwingstream.storage.disk import open_folder
-from redwingstream.tables.machine.machine import Machine
+from redwingstream.tables.machine.machine import StateMachine
 from redwingstream.wire.frames import FrameCodec
 
 OTHER_CONTROL = address_of('10.2.0.100', 7720)
@@ -28,7 +28,7 @@
 @pytest.fixture
 def disk(tmp_path) -> Path:
     """A data folder with the fleet record of an earlier run."""
-    machine = Machine()
+    machine = StateMachine()
     machine.state.revision = REVISION
     records = FleetRecordStore(lambda event: None)
     records.followers.record_inquiry(BALANCER, 0)
--- a/redwingstream/fleet/tests/test_fleet_record_store.py
+++ b/redwingstream/fleet/tests/test_fleet_record_store.py
@@ -15,7 +15,7 @@
 )
 from redwingstream.packets.flow import Address
 from redwingstream.storage.tests.fakes import FakeFolder
-from redwingstream.tables.machine.machine import Machine
+from redwingstream.tables.machine.machine import StateMachine
 
 CONTROLS = (Address(1), Address(2))
 BALANCER = Address(11)
@@ -33,7 +33,7 @@
 
 
 def _served(revision: int) -> ServedState:
-    machine = Machine()
+    machine = StateMachine()
     machine.state.revision = revision
     return ServedState(CONTROLS, revision, machine.update_since)
 
--- a/redwingstream/fleet/tests/test_inquiry_handler.py
+++ b/redwingstream/fleet/tests/test_inquiry_handler.py
@@ -33,7 +33,7 @@
     TableSource,
 )
 from redwingstream.packets.flow import Address
-from redwingstream.tables.machine.machine import Machine
+from redwingstream.tables.machine.machine import StateMachine
 
 OWN = Address(101)
 OTHER = Address(102)
@@ -43,7 +43,7 @@
 
 
 def _tables(revision: int = 0, age: float = 0) -> TableSource:
-    machine = Machine()
+    machine = StateMachine()
     machine.state.revision = revision
     return TableSource(revision, age, machine.update_since)
 
--- a/redwingstream/fleet/tests/test_large_start.py
+++ b/redwingstream/fleet/tests/test_large_start.py
@@ -23,7 +23,7 @@
 )
 from redwingstream.fleet.inquiry_handler import InquiryHandler, TableSource
 from redwingstream.packets.flow import Address
-from redwingstream.tables.machine.machine import Machine
+from redwingstream.tables.machine.machine import StateMachine
 from redwingstream.wire.frames import FrameCodec
 from redwingstream.wire.messages import decode, encode
 
@@ -108,7 +108,7 @@
         self.now = float(0)
         self.inquiries = 0
         self.controls = [Address(10_000 + number) for number in range(CONTROLS)]
-        self.machine = Machine()
+        self.machine = StateMachine()
         self.machine.state.revision = REVISION
         self.directory_by_control = {
             own: ControlDirectory(own, self.controls[:SEEDS])
--- a/redwingstream/membership/checks.py
+++ b/redwingstream/membership/checks.py
@@ -3,7 +3,7 @@
 from redwingstream.endpoints import parse_reachable
 from redwingstream.errors import SettingError
 from redwingstream.membership.messages import Announce
-from redwingstream.tables.rows import MAX_NAME, MAX_WEIGHT
+from redwingstream.tables.rows import MAX_NAME_LENGTH, MAX_WEIGHT
 
 
 def why_malformed(announce: Announce) -> str:
@@ -16,10 +16,10 @@
     """
     texts = (announce.host, announce.endpoint, announce.zone, announce.pool)
     longest = max(map(len, texts))
-    if longest > MAX_NAME or not announce.host:
+    if longest > MAX_NAME_LENGTH or not announce.host:
         return (
-            f'a name has {longest} characters; {MAX_NAME} are allowed, and '
-            'the host needs one'
+            f'a name has {longest} characters; {MAX_NAME_LENGTH} are allowed, '
+            'and the host needs one'
         )
     if not 0 < announce.weight <= MAX_WEIGHT:
         return f'the weight is {announce.weight}; 1 to {MAX_WEIGHT} are allowed'
--- a/redwingstream/membership/leases.py
+++ b/redwingstream/membership/leases.py
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen
-class Admitting:
+class AdmissionGranted:
     """The announcement is good; this command makes it a member."""
 
     command: AdmitMember
@@ -67,7 +67,9 @@
     endpoint: str
 
 
-AnnounceOutcome = Challenged | Admitting | Admitted | HeldBack | NameTaken
+AnnounceOutcome = (
+    Challenged | AdmissionGranted | Admitted | HeldBack | NameTaken
+)
 
 
 @attrs.frozen
@@ -147,7 +149,7 @@
             return HeldBack(wait)
         self._challenge_by_host.pop(announce.host)
         self._returns.note(announce.host, now)
-        return Admitting(_command(announce, boot))
+        return AdmissionGranted(_command(announce, boot))
 
     def on_heartbeat(
         self, beat: Heartbeat, boot: int, known: Member | None, now: float
@@ -161,7 +163,7 @@
         report.settled_view = max(report.settled_view, beat.settled_view)
         return True
 
-    def expired(
+    def due_removals(
         self, members: Iterable[Member], now: float
     ) -> list[RemoveMember]:
         """Return the removals of members whose lease has run out.
@@ -187,13 +189,15 @@
                 alive += 1
         return silent if alive else []
 
-    def settled(self, views: Iterable[PoolView]) -> Iterator[SettleView]:
+    def due_settlements(
+        self, views: Iterable[PoolView]
+    ) -> Iterator[SettleView]:
         """Yield the views whose members all hold their buckets."""
         for view in views:
             if view.unsettled and view.members and self._all_settled(view):
                 yield SettleView(view.pool, view.number)
 
-    def forget(self, hosts: Iterable[str]) -> None:
+    def retain_only(self, hosts: Iterable[str]) -> None:
         """Drop what is known of hosts that are no members any more."""
         for host in set(self._report_by_host).difference(hosts):
             self._report_by_host.pop(host)
--- a/redwingstream/membership/peers.py
+++ b/redwingstream/membership/peers.py
@@ -46,14 +46,14 @@
     def __init__(self) -> None:
         self._link_by_peer: dict[Endpoint, _Link] = {}
 
-    def sent(self, peer: Endpoint, now: float) -> None:
+    def record_sent(self, peer: Endpoint, now: float) -> None:
         """Note that a peer was sent something that it should react to."""
         link = self._link_by_peer.setdefault(peer, _Link())
         link.used_at = now
         if link.waiting_since is None:
             link.waiting_since = now
 
-    def heard(self, peer: Endpoint) -> None:
+    def record_heard(self, peer: Endpoint) -> None:
         """Note that a peer was heard from."""
         link = self._link_by_peer.get(peer)
         if link is not None:
--- a/redwingstream/membership/tests/test_leases.py
+++ b/redwingstream/membership/tests/test_leases.py
@@ -7,7 +7,7 @@
 
 from redwingstream.membership.leases import (
     Admitted,
-    Admitting,
+    AdmissionGranted,
     Challenged,
     HeldBack,
     Leases,
@@ -58,7 +58,7 @@
         for member in alive:
             beat = Heartbeat(member.host, member.incarnation, 0)
             assert leases.on_heartbeat(beat, member.boot, member, now)
-        removals += leases.expired((ONE, TWO), now)
+        removals += leases.due_removals((ONE, TWO), now)
     return removals
 
 
@@ -67,7 +67,7 @@
 
     def test_takes_two_steps(self, leases: Leases) -> None:
         outcome = announce(leases, boot=7, now=101)
-        assert isinstance(outcome, Admitting)
+        assert isinstance(outcome, AdmissionGranted)
         assert outcome.command.boot == 7
 
     def test_a_lost_challenge_is_repeated(self, leases: Leases) -> None:
@@ -107,7 +107,7 @@
         now: float = 0
         admitted_at = []
         for boot in range(4000):
-            if isinstance(announce(leases, boot, now), Admitting):
+            if isinstance(announce(leases, boot, now), AdmissionGranted):
                 admitted_at.append(now)
             now += 0.25
         gaps = [
@@ -181,10 +181,10 @@
         everybody, although all kept sending.
         """
         run_until(leases, 110, alive=(ONE, TWO))
-        assert leases.expired((ONE, TWO), 170) == []
+        assert leases.due_removals((ONE, TWO), 170) == []
         beat = Heartbeat('h2', TWO.incarnation, 0)
         leases.on_heartbeat(beat, TWO.boot, TWO, 170.1)
-        assert leases.expired((ONE, TWO), 170.2) == []
+        assert leases.due_removals((ONE, TWO), 170.2) == []
 
     def test_keeps_members_when_nobody_is_heard(self, leases: Leases) -> None:
         """Traffic that works would stop because control is cut off.
@@ -214,7 +214,7 @@
         for member, settled in ((ONE, 9), (TWO, 8)):
             beat = Heartbeat(member.host, 5, 0, settled_view=settled)
             leases.on_heartbeat(beat, 1, member, 101)
-        assert list(leases.settled([view])) == []
+        assert list(leases.due_settlements([view])) == []
         beat = Heartbeat('h2', 5, 0, settled_view=9)
         leases.on_heartbeat(beat, 1, TWO, 102)
-        assert list(leases.settled([view])) == [SettleView('p', 9)]
+        assert list(leases.due_settlements([view])) == [SettleView('p', 9)]
--- a/redwingstream/membership/tests/test_peers.py
+++ b/redwingstream/membership/tests/test_peers.py
@@ -18,7 +18,7 @@
 def links() -> PeerLinks:
     """Return links on which something was sent at time 0."""
     links = PeerLinks()
-    links.sent(PEER, 0)
+    links.record_sent(PEER, 0)
     return links
 
 
@@ -43,7 +43,7 @@
         """
         assert not links.is_silent(PEER, SILENT_AFTER - LATER)
         assert links.is_silent(PEER, SILENT_AFTER + LATER)
-        links.heard(PEER)
+        links.record_heard(PEER)
         assert not links.is_silent(PEER, SILENT_AFTER + LATER)
 
     def test_an_idle_peer_is_not_silent(self) -> None:
--- a/redwingstream/node/following.py
+++ b/redwingstream/node/following.py
@@ -105,7 +105,7 @@
             self._metrics.count('tables_not_fetched')
             logging.warning('node: Tables not fetched: %s.', error)
             return False
-        if not self.history.take(update):
+        if not self.history.apply_update(update):
             return False
         self._metrics.count('tables_fetched')
         self._metrics.gauge('revision', update.revision)
--- a/redwingstream/node/member.py
+++ b/redwingstream/node/member.py
@@ -205,7 +205,7 @@
     async def _on_call(self, request: object) -> object:
         match request:
             case FetchTables(since=since):
-                return self.follower.history.since(since)
+                return self.follower.history.update_since(since)
             case DumpRequest():
                 return DumpAnswer(self._dump())
             case _:
--- a/redwingstream/node/tests/test_member.py
+++ b/redwingstream/node/tests/test_member.py
@@ -81,7 +81,7 @@
         tables and no disk, and refuses whatever the fabric hands in.
         """
         informed = member_at(free_endpoint())
-        informed.follower.history.take(UPDATE)
+        informed.follower.history.apply_update(UPDATE)
         started = member_at(free_endpoint(), informed.settings.endpoint)
         started.announcer.is_cut_off = lambda now: True
         async with informed.opened(), started.opened():
@@ -98,17 +98,19 @@
         informed = member_at(free_endpoint())
         endpoint = informed.settings.endpoint
         newer = attrs.evolve(UPDATE, revision=UPDATE.revision + 1)
-        informed.follower.history.take(newer)
+        informed.follower.history.apply_update(newer)
         row = Member('a1', Role.AGENT, 3, 1, str(endpoint), 'carse')
         cut_off = member_at(free_endpoint())
-        cut_off.follower.history.take(attrs.evolve(UPDATE, members=(row,)))
+        cut_off.follower.history.apply_update(
+            attrs.evolve(UPDATE, members=(row,))
+        )
         cut_off.announcer.is_cut_off = lambda now: True
         async with informed.opened(), cut_off.opened():
             await until(lambda: cut_off.follower.revision == newer.revision)
 
     async def test_hears_of_a_change_from_any_frame_of_a_peer(self) -> None:
         informed = member_at(free_endpoint())
-        informed.follower.history.take(UPDATE)
+        informed.follower.history.apply_update(UPDATE)
         other = member_at(free_endpoint())
         async with informed.opened(), other.opened():
             other.follower.hear(UPDATE.revision, informed.settings.endpoint)
@@ -116,7 +118,7 @@
 
     async def test_answers_calls(self) -> None:
         member = member_at(free_endpoint())
-        member.follower.history.take(UPDATE)
+        member.follower.history.apply_update(UPDATE)
         endpoint = member.settings.endpoint
         codec = FrameCodec(KEY, MAX_CALL_SIZE)
         async with member.opened():
--- a/redwingstream/packets/dead_flows.py
+++ b/redwingstream/packets/dead_flows.py
@@ -17,7 +17,7 @@
 from redwingstream.packets.flow import Address, FlowId, Head
 from redwingstream.packets.ranking import pool_hash
 from redwingstream.packets.route_table import RouteTable
-from redwingstream.tables.rows import MAX_EARLIER, Route
+from redwingstream.tables.rows import MAX_EARLIER_POOLS, Route
 
 MAX_NOT_FOUND = 5000
 """Maximum number of flows that were not found and are remembered.  Others are
@@ -203,7 +203,7 @@
 def _is_proof(
     entry: _NotFoundFlow, route: Route, present: _PresentAgents
 ) -> bool:
-    if len(route.rules.earlier) >= MAX_EARLIER:
+    if len(route.rules.earlier) >= MAX_EARLIER_POOLS:
         # The list is full, so an earlier pool of the route may be missing.
         return False
     return all(
--- a/redwingstream/packets/tests/test_dead_flows.py
+++ b/redwingstream/packets/tests/test_dead_flows.py
@@ -21,7 +21,7 @@
     Caller,
     Network,
 )
-from redwingstream.tables.rows import MAX_EARLIER, FlowRules
+from redwingstream.tables.rows import MAX_EARLIER_POOLS, FlowRules
 
 OTHER_POOL = 'feed-2'
 RETRANSMISSIONS = (0, 0.2, 0.6, 1.4, 3.0)
@@ -247,7 +247,7 @@
     def test_is_left_alone_after_too_many_changes_of_its_route(self) -> None:
         scenario = _restarted()
         scenario.network.add_agent('10.1.1.1', pool=OTHER_POOL)
-        names = [f'earlier-{number}' for number in range(MAX_EARLIER)]
+        names = [f'earlier-{number}' for number in range(MAX_EARLIER_POOLS)]
         _assign_pool(scenario.network, *names)
         scenario.repeat()
         assert not scenario.caller.resets
--- a/redwingstream/placement/keeper.py
+++ b/redwingstream/placement/keeper.py
@@ -89,7 +89,7 @@
         self._tickets = itertools.count(1)
         self._settled_view = 0
 
-    def adopt(self, view: PoolView, now: float) -> list[Effect]:
+    def apply_view(self, view: PoolView, now: float) -> list[Effect]:
         """Follow a committed view; an older one than the last is ignored."""
         adopted = self._pairs.view
         if view.pool != self._pool or view.number < adopted.number:
--- a/redwingstream/placement/rendezvous.py
+++ b/redwingstream/placement/rendezvous.py
@@ -127,7 +127,7 @@
         self._shared_by_pair: dict[Pair, Pair] = {}
 
     @classmethod
-    def of_view(cls, view: PoolView) -> 'PairTable':
+    def from_view(cls, view: PoolView) -> 'PairTable':
         """Return the table of a committed view."""
         return cls(view.members, view.pool)
 
--- a/redwingstream/placement/tests/fakes.py
+++ b/redwingstream/placement/tests/fakes.py
@@ -42,7 +42,7 @@
     return PoolView(POOL, number, members, unsettled)
 
 
-def placed(
+def view_with_pair(
     number: int, *order: ViewMember, after: PoolView | None = None
 ) -> PoolView:
     """Return a view whose first member is home and whose second is heir."""
@@ -157,11 +157,11 @@
             if isinstance(effect, Send):
                 self.held.append((agent.me.endpoint, effect))
 
-    def adopt(self, committed: PoolView, *hosts: str) -> None:
+    def apply_view(self, committed: PoolView, *hosts: str) -> None:
         """Let hosts, or all that are not cut off, adopt a view."""
         for host in hosts or self.running():
             agent = self.agent_by_host[host]
-            self.carry_out(agent, agent.keeper.adopt(committed, self.now))
+            self.carry_out(agent, agent.keeper.apply_view(committed, self.now))
 
     def record(
         self, host: str, contents: BucketContents, give_up_at: float = NEVER
--- a/redwingstream/placement/tests/model.py
+++ b/redwingstream/placement/tests/model.py
@@ -159,7 +159,7 @@
                 if members and runs.isdisjoint(members):
                     self._lossy.add(bucket)
 
-    def run_twice(self) -> set[int]:
+    def requests_run_twice(self) -> set[int]:
         """Return requests that ran more than once without excuse."""
         return {
             key
@@ -180,8 +180,8 @@
 
     def __init__(self) -> None:
         self.now: float = 0
-        self.wire: list[Letter] = []
-        self.apart: set[str] = set()
+        self.in_transit: list[Letter] = []
+        self.partitioned: set[str] = set()
         self.run_by_host: dict[str, Run] = {}
         self.control = FakeControl()
         self.account = Account(self.control)
@@ -215,19 +215,19 @@
             }
         )
 
-    def awake(self) -> list[str]:
+    def running_hosts(self) -> list[str]:
         """Return the hosts whose agent runs now."""
         return [
             host for host, run in self.run_by_host.items() if not run.frozen
         ]
 
-    def adopt(self, host: str, index: int = -1) -> None:
+    def apply_view(self, host: str, index: int = -1) -> None:
         """Let a host adopt a committed view, the newest or an older one."""
         run = self.run_by_host[host]
         views = self.control.views
         if not run.frozen:
             adopted = views[index % len(views)]
-            self._carry_out(run, run.agent.keeper.adopt(adopted, self.now))
+            self._carry_out(run, run.agent.keeper.apply_view(adopted, self.now))
 
     def tick(self, host: str) -> None:
         """Let a host do what is due, and send its heartbeat."""
@@ -238,14 +238,14 @@
 
     def deliver(self, index: int, *, keep: bool = False) -> None:
         """Deliver one message; a kept one comes again later."""
-        if not self.wire:
+        if not self.in_transit:
             return
-        place = index % len(self.wire)
-        letter = self.wire[place]
+        place = index % len(self.in_transit)
+        letter = self.in_transit[place]
         if self.is_held(letter):
             return
         if not keep:
-            self.wire.pop(place)
+            self.in_transit.pop(place)
         run = self.run_by_host[letter.send.endpoint]
         effects = run.agent.keeper.on_message(
             letter.send.message, self.now, letter.source
@@ -269,7 +269,7 @@
         if not run.frozen:
             self._record(run, port % BUCKETS, flow(port, 'carrier'))
 
-    def forgotten(self, hosts: Iterable[str]) -> set[int]:
+    def lost_flows(self, hosts: Iterable[str]) -> set[int]:
         """Return accepted flows that none of these hosts holds."""
         return {
             port
@@ -284,7 +284,7 @@
         if self.run_by_host[letter.send.endpoint].frozen:
             return True
         ends = {letter.source, letter.send.endpoint}
-        return len(ends & self.apart) == 1
+        return len(ends & self.partitioned) == 1
 
     def _record(self, run: Run, bucket: int, contents: BucketContents) -> None:
         if contents in run.contents_by_ticket.values():
@@ -299,7 +299,7 @@
         for effect in effects:
             match effect:
                 case Send():
-                    self.wire.append(Letter(run.agent.me.host, effect))
+                    self.in_transit.append(Letter(run.agent.me.host, effect))
                 case Recorded(ticket):
                     contents = run.contents_by_ticket.pop(ticket)
                     self.account.take_effect(contents)
@@ -309,30 +309,30 @@
                     self._give_up(run, bucket, lost)
 
     def _give_up(self, asking: Run, bucket: int, lost: tuple[int, ...]) -> None:
-        side = asking.agent.me.host in self.apart
+        side = asking.agent.me.host in self.partitioned
         silent_by_run = {
-            run.agent.me: run.frozen or (host in self.apart) != side
+            run.agent.me: run.frozen or (host in self.partitioned) != side
             for host, run in self.run_by_host.items()
         }
         for number in lost:
             self.account.give_up(bucket, number, silent_by_run, self.now)
 
 
-def calm(cluster: Cluster, seconds: float) -> None:
+def run_without_faults(cluster: Cluster, seconds: float) -> None:
     """Let time pass without faults for those who run."""
     end = cluster.now + seconds
     while cluster.now < end:
         cluster.now += TICK
-        for host in cluster.awake():
+        for host in cluster.running_hosts():
             cluster.tick(host)
-        drain(cluster)
+        deliver_all(cluster)
 
 
-def drain(cluster: Cluster) -> None:
+def deliver_all(cluster: Cluster) -> None:
     """Deliver everything to those who run, and what follows from it."""
     index = 0
-    while index < len(cluster.wire):
-        if cluster.is_held(cluster.wire[index]):
+    while index < len(cluster.in_transit):
+        if cluster.is_held(cluster.in_transit[index]):
             index += 1
         else:
             cluster.deliver(index)
@@ -341,22 +341,22 @@
 def catch_up(cluster: Cluster) -> None:
     """Let all who run follow the newest view, and control settle it."""
     for _ in range(2):
-        for host in cluster.awake():
-            cluster.adopt(host)
-        calm(cluster, 1)
+        for host in cluster.running_hosts():
+            cluster.apply_view(host)
+        run_without_faults(cluster, 1)
         cluster.settle()
 
 
-def end_of_faults(cluster: Cluster) -> None:
+def heal_all(cluster: Cluster) -> None:
     """Thaw all, let everyone follow the newest view, and wait it out."""
     for run in cluster.run_by_host.values():
         run.frozen = False
-    cluster.apart.clear()
+    cluster.partitioned.clear()
     cluster.commit(set(cluster.run_by_host))
     for wait in (2 * TICK, 8, HORIZON + 8, 8):
-        for host in cluster.awake():
-            cluster.adopt(host)
-        calm(cluster, wait)
+        for host in cluster.running_hosts():
+            cluster.apply_view(host)
+        run_without_faults(cluster, wait)
         cluster.settle()
-    for host in cluster.awake():
-        cluster.adopt(host)
+    for host in cluster.running_hosts():
+        cluster.apply_view(host)
--- a/redwingstream/placement/tests/test_recording.py
+++ b/redwingstream/placement/tests/test_recording.py
@@ -16,14 +16,14 @@
     Network,
     flow,
     member,
-    placed,
+    view_with_pair,
     started,
 )
 
 HOST_A, HOST_B, HOST_C = (
     member(*each) for each in zip('abc', (1, 2, 3), strict=True)
 )
-FIRST = placed(1, HOST_A, HOST_B)
+FIRST = view_with_pair(1, HOST_A, HOST_B)
 
 
 def network() -> Network:
@@ -31,7 +31,7 @@
     net = Network()
     for each in (HOST_A, HOST_B, HOST_C):
         net.join(each)
-    net.adopt(FIRST)
+    net.apply_view(FIRST)
     net.deliver()
     return net
 
@@ -57,7 +57,7 @@
     def test_needs_no_heir_in_a_view_of_one(self) -> None:
         net = Network()
         net.join(HOST_A)
-        net.adopt(placed(1, HOST_A))
+        net.apply_view(view_with_pair(1, HOST_A))
         net.record('a', started(7))
         assert net.results('a') == [Recorded(1)]
         assert net.agent_by_host['a'].keeper.settled_view() == 1
@@ -66,7 +66,7 @@
         net = network()
         net.record('a', started(7))
         net.held.clear()
-        net.adopt(placed(2, HOST_A, HOST_C, after=FIRST))
+        net.apply_view(view_with_pair(2, HOST_A, HOST_C, after=FIRST))
         net.deliver()
         assert net.results('a') == [Recorded(1)]
         assert net.holds('c') == started(7)
@@ -74,7 +74,7 @@
     def test_is_refused_where_another_agent_is_home(self) -> None:
         net = network()
         net.record('a', started(7))
-        net.adopt(placed(2, HOST_C, HOST_B, after=FIRST), 'a')
+        net.apply_view(view_with_pair(2, HOST_C, HOST_B, after=FIRST), 'a')
         net.record('a', started(8))
         net.run(1)
         stale = ResultCode.STALE
@@ -85,7 +85,7 @@
 
     def test_nothing_is_sent_before_the_bucket_is_in_effect(self) -> None:
         net = network()
-        net.adopt(placed(2, HOST_C, HOST_B, after=FIRST), 'c')
+        net.apply_view(view_with_pair(2, HOST_C, HOST_B, after=FIRST), 'c')
         net.record('c', started(7))
         assert not net.take_held(Record)
 
@@ -137,11 +137,11 @@
         late = RecordAck(
             pool=FIRST.pool, bucket=0, view=1, ticket=1, accepted=True, fence=1
         )
-        second = placed(2, HOST_C, HOST_B, after=FIRST)
-        third = placed(3, HOST_A, HOST_B, after=second)
-        net.adopt(second)
+        second = view_with_pair(2, HOST_C, HOST_B, after=FIRST)
+        third = view_with_pair(3, HOST_A, HOST_B, after=second)
+        net.apply_view(second)
         net.run(1)
-        net.adopt(third, 'a')
+        net.apply_view(third, 'a')
         net.cut = {'b'}
         net.run(1)
         keeper = net.agent_by_host['a'].keeper
@@ -171,7 +171,7 @@
         net.deliver()
         keeper = net.agent_by_host['a'].keeper
         assert keeper.settled_view() == 1
-        net.adopt(placed(2, HOST_A, HOST_C, after=FIRST))
+        net.apply_view(view_with_pair(2, HOST_A, HOST_C, after=FIRST))
         assert keeper.settled_view() == 1
         net.deliver()
         assert keeper.settled_view() == 2
@@ -184,24 +184,24 @@
         has never seen; then a is home again with b as heir, and a dies.
         """
         net = network()
-        second = placed(2, HOST_C, HOST_A, after=FIRST)
-        net.adopt(second, 'c')
+        second = view_with_pair(2, HOST_C, HOST_A, after=FIRST)
+        net.apply_view(second, 'c')
         net.run(1)
         net.record('c', started(7))
         net.deliver()
-        net.adopt(placed(3, HOST_A, HOST_B, after=second))
+        net.apply_view(view_with_pair(3, HOST_A, HOST_B, after=second))
         net.run(1)
         assert net.holds('b') == started(7)
 
     def test_heir_gets_what_this_home_took_over(self) -> None:
         net = network()
-        second = placed(2, HOST_C, after=FIRST)
+        second = view_with_pair(2, HOST_C, after=FIRST)
         net.cut = {'a'}
-        net.adopt(second, 'c')
+        net.apply_view(second, 'c')
         net.run(1)
         net.record('c', started(7))
         net.cut = set()
-        net.adopt(placed(3, HOST_A, HOST_B, after=second))
+        net.apply_view(view_with_pair(3, HOST_A, HOST_B, after=second))
         net.run(1)
         assert net.holds('b') == started(7)
 
@@ -233,7 +233,7 @@
             net.deliver()
         net.record('a', flow(4000, 'a'))
         net.deliver()
-        net.adopt(placed(2, HOST_A, HOST_C, after=FIRST))
+        net.apply_view(view_with_pair(2, HOST_A, HOST_C, after=FIRST))
         net.record('a', flow(4000, 'a', closed=True))
         net.run(1)
         assert len(net.holds('c').entries) == 5
--- a/redwingstream/placement/tests/test_rendezvous.py
+++ b/redwingstream/placement/tests/test_rendezvous.py
@@ -76,7 +76,7 @@
         assert pair_of((), POOL, 0) == Pair()
 
     def test_is_the_same_from_a_table_and_in_any_order(self) -> None:
-        table = PairTable.of_view(view(1, *MEMBERS))
+        table = PairTable.from_view(view(1, *MEMBERS))
         for bucket in range(64):
             expected = pair_of(tuple(reversed(MEMBERS)), POOL, bucket)
             assert table.pair(bucket) == expected
--- a/redwingstream/placement/tests/test_takeover.py
+++ b/redwingstream/placement/tests/test_takeover.py
@@ -26,7 +26,7 @@
     Network,
     flow,
     member,
-    placed,
+    view_with_pair,
     started,
 )
 from redwingstream.tables.rows import EarlierView
@@ -34,7 +34,7 @@
 HOST_A, HOST_B, HOST_C, HOST_D = (
     member(*each) for each in zip('abcd', (1, 2, 3, 4), strict=True)
 )
-FIRST = placed(1, HOST_A, HOST_B)
+FIRST = view_with_pair(1, HOST_A, HOST_B)
 
 
 def network() -> Network:
@@ -42,7 +42,7 @@
     net = Network()
     for each in (HOST_A, HOST_B, HOST_C, HOST_D):
         net.join(each)
-    net.adopt(FIRST)
+    net.apply_view(FIRST)
     net.deliver()
     return net
 
@@ -59,11 +59,11 @@
         net = network()
         net.record('a', flow(4000, 'd'))
         net.deliver()
-        net.adopt(placed(2, HOST_C, HOST_D, after=FIRST))
+        net.apply_view(view_with_pair(2, HOST_C, HOST_D, after=FIRST))
         net.run(1)
         assert net.status('c') == InEffect()
         assert net.status('a') == NotHome(
-            placed(2, HOST_C, HOST_D).members[0],
+            view_with_pair(2, HOST_C, HOST_D).members[0],
         )
         assert net.holds('c') == net.holds('d') == flow(4000, 'd')
 
@@ -71,11 +71,11 @@
         net = network()
         net.record('a', flow(4000, 'd'))
         net.deliver()
-        following = placed(2, HOST_C, HOST_D, after=FIRST)
-        net.adopt(following)
+        following = view_with_pair(2, HOST_C, HOST_D, after=FIRST)
+        net.apply_view(following)
         net.run(1)
         assert net.holds('a') == flow(4000, 'd')
-        net.adopt(placed(2, HOST_C, HOST_D))
+        net.apply_view(view_with_pair(2, HOST_C, HOST_D))
         assert net.holds('a') == net.holds('b') == BucketContents()
         assert net.holds('c') == net.holds('d') == flow(4000, 'd')
 
@@ -89,12 +89,12 @@
         net = network()
         net.record('a', started(7))
         net.take_held(Record)
-        second = placed(2, HOST_C, HOST_B, after=FIRST)
-        net.adopt(second, 'b', 'c')
+        second = view_with_pair(2, HOST_C, HOST_B, after=FIRST)
+        net.apply_view(second, 'b', 'c')
         net.run(1)
         net.record('c', started(7))
         net.deliver()
-        net.adopt(placed(3, HOST_A, HOST_B, after=second))
+        net.apply_view(view_with_pair(3, HOST_A, HOST_B, after=second))
         net.run(1)
         assert net.results('c') == [Recorded(1)]
         refused = RecordRefused(1, ResultCode.OUTCOME_UNKNOWN)
@@ -110,14 +110,14 @@
         net = network()
         net.record('a', started(7))
         net.take_held(Record)
-        second = placed(2, HOST_C, HOST_A, after=FIRST)
+        second = view_with_pair(2, HOST_C, HOST_A, after=FIRST)
         net.cut = {'b'}
-        net.adopt(second, 'c')
+        net.apply_view(second, 'c')
         net.run(1)
         net.record('c', started(7))
         net.deliver()
         net.cut = set()
-        net.adopt(placed(3, HOST_A, HOST_B, after=second))
+        net.apply_view(view_with_pair(3, HOST_A, HOST_B, after=second))
         net.run(1)
         assert net.results('c') == [Recorded(1)]
         assert Recorded(1) not in net.results('a')
@@ -134,7 +134,7 @@
         net.record('a', started(7))
         late = net.take_held(Record)
         net.cut = {'b'}
-        net.adopt(placed(2, HOST_C, HOST_D, after=FIRST), 'c')
+        net.apply_view(view_with_pair(2, HOST_C, HOST_D, after=FIRST), 'c')
         net.run(1)
         assert net.status('c') == InEffect()
         net.cut = set()
@@ -154,7 +154,7 @@
         net.deliver()
         net.join(member('b', 5))
         net.cut = {'a'}
-        net.adopt(placed(6, HOST_C, HOST_D, after=FIRST), 'c')
+        net.apply_view(view_with_pair(6, HOST_C, HOST_D, after=FIRST), 'c')
         net.run(3)
         assert isinstance(net.status('c'), Recovering)
         assert given_by(net, 'b') == 0
@@ -168,9 +168,9 @@
         stands in their place.  The new home hears from all others.
         """
         net = network()
-        view = placed(3, HOST_A, HOST_C, after=FIRST)
+        view = view_with_pair(3, HOST_A, HOST_C, after=FIRST)
         unknown = EarlierView(2, ())
-        net.adopt(attrs.evolve(view, unsettled=(unknown, *view.unsettled)))
+        net.apply_view(attrs.evolve(view, unsettled=(unknown, *view.unsettled)))
         net.run(3)
         assert isinstance(net.status('a'), Recovering)
         net.run(HORIZON)
@@ -183,14 +183,14 @@
         yet.  Then it adopts the view before, in which it holds nothing.
         """
         net = network()
-        second = placed(2, HOST_C, HOST_B, after=FIRST)
-        net.adopt(second, 'c')
+        second = view_with_pair(2, HOST_C, HOST_B, after=FIRST)
+        net.apply_view(second, 'c')
         net.run(1)
-        net.adopt(placed(3, HOST_C, HOST_D, after=second), 'c')
+        net.apply_view(view_with_pair(3, HOST_C, HOST_D, after=second), 'c')
         net.record('c', flow(4000, 'c'))
         net.run(1)
-        net.adopt(second, 'd')
-        net.adopt(placed(2, HOST_C, HOST_B), 'd')
+        net.apply_view(second, 'd')
+        net.apply_view(view_with_pair(2, HOST_C, HOST_B), 'd')
         assert net.holds('d') == flow(4000, 'c')
 
     def test_contents_in_parts_are_those_of_the_first_asking(self) -> None:
@@ -204,7 +204,7 @@
             net.record('a', started(key, bytes(20000)))
             net.deliver()
         net.cut = {'b'}
-        net.adopt(placed(2, HOST_C, HOST_D, after=FIRST), 'c')
+        net.apply_view(view_with_pair(2, HOST_C, HOST_D, after=FIRST), 'c')
         net.cut = {'b'}
         net.hand_over_first()
         net.agent_by_host['a'].store.forget(started(0).entries[0].key)
@@ -217,7 +217,7 @@
         for key in range(5):
             net.record('a', started(key, bytes(20000)))
             net.deliver()
-        net.adopt(placed(2, HOST_C, HOST_D, after=FIRST), 'c')
+        net.apply_view(view_with_pair(2, HOST_C, HOST_D, after=FIRST), 'c')
         while len(net.holds('c').entries) < 5:
             assert isinstance(net.status('c'), Taking)
             net.hand_over_first()
@@ -233,29 +233,29 @@
         net = network()
         net.record('a', started(7))
         net.deliver()
-        second = placed(2, HOST_C, HOST_D, after=FIRST)
-        net.adopt(second, 'c')
+        second = view_with_pair(2, HOST_C, HOST_D, after=FIRST)
+        net.apply_view(second, 'c')
         net.run(0.2)
         net.cut = {'a', 'b', 'd'}
-        net.adopt(placed(3, HOST_C, after=second), 'c')
+        net.apply_view(view_with_pair(3, HOST_C, after=second), 'c')
         assert net.status('c') == InEffect()
 
     def test_next_home_learns_what_the_former_one_has_heard(self) -> None:
         net = network()
-        second = placed(2, HOST_C, HOST_B, after=FIRST)
-        net.adopt(second, 'c')
+        second = view_with_pair(2, HOST_C, HOST_B, after=FIRST)
+        net.apply_view(second, 'c')
         net.run(1)
         net.cut = {'a', 'b'}
-        net.adopt(placed(3, HOST_D, HOST_C, after=second), 'd')
+        net.apply_view(view_with_pair(3, HOST_D, HOST_C, after=second), 'd')
         net.run(1)
         assert net.status('d') == InEffect()
 
     def test_next_home_does_not_count_what_nobody_has_heard(self) -> None:
         net = network()
-        second = placed(2, HOST_C, HOST_B, after=FIRST)
+        second = view_with_pair(2, HOST_C, HOST_B, after=FIRST)
         net.cut = {'a', 'b'}
-        net.adopt(second, 'c')
-        net.adopt(placed(3, HOST_D, HOST_C, after=second), 'd')
+        net.apply_view(second, 'c')
+        net.apply_view(view_with_pair(3, HOST_D, HOST_C, after=second), 'd')
         net.run(3)
         assert given_by(net, 'c')
         assert isinstance(net.status('d'), Recovering)
@@ -269,16 +269,16 @@
         under the old view or at once under the new one.
         """
         net = network()
-        second = placed(2, HOST_C, HOST_B, after=FIRST)
-        third = placed(3, HOST_C, HOST_D, after=second)
-        net.adopt(third, 'a', 'b')
-        net.adopt(second, 'c')
+        second = view_with_pair(2, HOST_C, HOST_B, after=FIRST)
+        third = view_with_pair(3, HOST_C, HOST_D, after=second)
+        net.apply_view(third, 'a', 'b')
+        net.apply_view(second, 'c')
         net.run(1)
         assert FetchNeeded('a') in net.agent_by_host['c'].done
         net.run(2 * HORIZON)
         assert isinstance(net.status('c'), Recovering)
         net.cut = {'a', 'b'}
-        net.adopt(third, 'c')
+        net.apply_view(third, 'c')
         net.run(3)
         assert isinstance(net.status('c'), Recovering)
         net.cut = set()
@@ -292,7 +292,7 @@
     def test_recovers_after_the_longest_replay_time(self) -> None:
         net = network()
         net.cut = {'a', 'b'}
-        net.adopt(placed(2, HOST_C, HOST_D, after=FIRST))
+        net.apply_view(view_with_pair(2, HOST_C, HOST_D, after=FIRST))
         net.run(0.5)
         assert isinstance(net.status('c'), Taking)
         net.record('c', started(1))
@@ -311,7 +311,7 @@
     def test_feeds_are_recorded_while_recovering(self) -> None:
         net = network()
         net.cut = {'a', 'b'}
-        net.adopt(placed(2, HOST_C, HOST_D, after=FIRST))
+        net.apply_view(view_with_pair(2, HOST_C, HOST_D, after=FIRST))
         net.run(2)
         net.record('c', flow(4000, 'c'))
         net.run(1)
@@ -327,7 +327,7 @@
         """
         net = network()
         net.cut = {'a', 'b'}
-        net.adopt(placed(2, HOST_C, HOST_D, after=FIRST))
+        net.apply_view(view_with_pair(2, HOST_C, HOST_D, after=FIRST))
         net.run(0.5)
         net.now += 2 * HORIZON
         net.run(2)
@@ -345,7 +345,7 @@
         """
         net = network()
         net.cut = {'a'}
-        net.adopt(placed(2, HOST_C, HOST_D, after=FIRST), 'c')
+        net.apply_view(view_with_pair(2, HOST_C, HOST_D, after=FIRST), 'c')
         net.run(1)
         net.cut = set()
         net.record('a', started(7))
@@ -357,10 +357,12 @@
 
     def test_late_request_for_an_older_view_changes_nothing(self) -> None:
         net = network()
-        second = placed(2, HOST_C, HOST_B, after=FIRST)
-        net.adopt(second, 'c')
+        second = view_with_pair(2, HOST_C, HOST_B, after=FIRST)
+        net.apply_view(second, 'c')
         late = net.take_held(TakeBucket)
-        net.adopt(placed(3, HOST_A, HOST_B, after=second), 'a', 'b')
+        net.apply_view(
+            view_with_pair(3, HOST_A, HOST_B, after=second), 'a', 'b'
+        )
         net.run(1)
         net.held = late
         answers = given_by(net, 'a') + given_by(net, 'b')
--- a/redwingstream/placement/views.py
+++ b/redwingstream/placement/views.py
@@ -48,7 +48,7 @@
     ) -> None:
         self.view = view
         known = {} if former is None else former.table_by_number()
-        self._newest = known.get(view.number) or PairTable.of_view(view)
+        self._newest = known.get(view.number) or PairTable.from_view(view)
         self._earlier_by_number = {
             earlier.number: known.get(earlier.number)
             or PairTable(earlier.members, view.pool)
--- a/redwingstream/requests/begun.py
+++ b/redwingstream/requests/begun.py
@@ -68,4 +68,4 @@
     come_back: int
 
 
-Begun = Fresh | Running | Answered | WasNotRun | OutcomeUnknown | Full
+BeginResult = Fresh | Running | Answered | WasNotRun | OutcomeUnknown | Full
--- a/redwingstream/requests/ledger.py
+++ b/redwingstream/requests/ledger.py
@@ -11,7 +11,7 @@
 
 from redwingstream.requests.begun import (
     Answered,
-    Begun,
+    BeginResult,
     Fresh,
     Full,
     OutcomeUnknown,
@@ -107,7 +107,7 @@
         bool
             False means: refuse the record or the request.
         """
-        self.expire(now)
+        self.evict_expired(now)
         deferred = 0
         while not self.has_room(count):
             slot = self._slots.condensable()
@@ -124,7 +124,7 @@
 
     def begin(
         self, bucket: int, key: RequestKey, checksum: bytes, now: float
-    ) -> Begun:
+    ) -> BeginResult:
         """Say what a request that has arrived at its home is to get.
 
         Parameters
@@ -215,7 +215,7 @@
         self._slots.abandon(slot, answer)
         self._slots.postpone(slot, now)
 
-    def entry(
+    def find_entry(
         self, key: RequestKey, checksum: bytes, now: float | None = None
     ) -> LedgerEntry | None:
         """Return an entry as it travels, or None.
@@ -260,7 +260,7 @@
             self._slots.remove(slot)
         self.condensed.drop(bucket)
 
-    def expire(self, now: float) -> None:
+    def evict_expired(self, now: float) -> None:
         """Forget what is older than the replay horizon and not running."""
         oldest = self._slots.oldest()
         while oldest and now - oldest.kept_since > self.replay_horizon:
@@ -289,7 +289,7 @@
         return max(1, min(wait, MAX_COME_BACK))
 
 
-def _replay_of(slot: Slot) -> Begun:
+def _replay_of(slot: Slot) -> BeginResult:
     """Return what another packet of a known request gets."""
     if slot.is_running:
         return Running()
--- a/redwingstream/requests/outcomes.py
+++ b/redwingstream/requests/outcomes.py
@@ -6,7 +6,7 @@
 from redwingstream.errors import ResultCode
 from redwingstream.requests.begun import (
     Answered,
-    Begun,
+    BeginResult,
     Full,
     OutcomeUnknown,
     Running,
@@ -50,7 +50,7 @@
 _NOT_RUN_BEFORE = NotRun(ResultCode.OVERLOADED, come_back=1)
 
 
-def told(request: Message, outcome: Outcome) -> bytes:
+def outcome_packet(request: Message, outcome: Outcome) -> bytes:
     """Return the packet that tells a caller an outcome without an answer.
 
     Parameters
@@ -73,7 +73,7 @@
     return coap.encode(packet)
 
 
-def told_again(request: Message, begun: Begun) -> bytes | None:
+def reply_packet(request: Message, begun: BeginResult) -> bytes | None:
     """Return what a caller gets for a request that is not to be run.
 
     Parameters
@@ -95,11 +95,11 @@
             packet = _in_progress(request)
         case Full(come_back):
             full = NotRun(ResultCode.LEDGER_FULL, come_back)
-            packet = told(request, full)
+            packet = outcome_packet(request, full)
         case OutcomeUnknown(kept):
-            packet = kept or told(request, Unknown())
+            packet = kept or outcome_packet(request, Unknown())
         case WasNotRun(kept):
-            packet = kept or told(request, _NOT_RUN_BEFORE)
+            packet = kept or outcome_packet(request, _NOT_RUN_BEFORE)
         case Answered(kept):
             packet = kept
     return packet
--- a/redwingstream/requests/tests/test_ledger.py
+++ b/redwingstream/requests/tests/test_ledger.py
@@ -105,22 +105,22 @@
         finish(ledger)
         ledger.abandon(key(), SUM, ANSWER, now=0)
         assert ledger.counters.unmatched == 2
-        assert ledger.entry(key(), SUM) is None
+        assert ledger.find_entry(key(), SUM) is None
 
 
 class TestExpiry:
     def test_forgotten_after_the_horizon(self, ledger):
         begin(ledger)
         finish(ledger)
-        ledger.expire(HORIZON)
+        ledger.evict_expired(HORIZON)
         assert begin(ledger, now=HORIZON) == Answered(ANSWER)
-        ledger.expire(HORIZON + 1)
+        ledger.evict_expired(HORIZON + 1)
         assert len(ledger) == 0
         assert ledger.counters.expired == 1
 
     def test_run_in_progress_is_never_forgotten(self, ledger):
         begin(ledger)
-        ledger.expire(10 * HORIZON)
+        ledger.evict_expired(10 * HORIZON)
         assert begin(ledger, now=10 * HORIZON) == Running()
 
 
@@ -310,9 +310,9 @@
         finish(ledger)
         later = Ledger(4, HORIZON)
         later.merge(BUCKET, ledger.export(BUCKET, now=200), now=1000)
-        later.expire(1000 + HORIZON - 200)
+        later.evict_expired(1000 + HORIZON - 200)
         assert len(later) == 1
-        later.expire(1001 + HORIZON - 200)
+        later.evict_expired(1001 + HORIZON - 200)
         assert len(later) == 0
 
     def test_bucket_is_taken_over_beyond_the_capacity(self, ledger):
--- a/redwingstream/requests/tests/test_outcomes.py
+++ b/redwingstream/requests/tests/test_outcomes.py
@@ -14,7 +14,12 @@
 )
 from redwingstream.requests.checksum import CHECKSUM_SIZE, request_checksum
 from redwingstream.requests.filters import RequestFilters
-from redwingstream.requests.outcomes import NotRun, Unknown, told, told_again
+from redwingstream.requests.outcomes import (
+    NotRun,
+    Unknown,
+    outcome_packet,
+    reply_packet,
+)
 from redwingstream.wire import coap
 
 
@@ -56,7 +61,9 @@
 
 class TestTold:
     def test_not_run(self):
-        packet = told(request(), NotRun(ResultCode.OVERLOADED, come_back=9))
+        packet = outcome_packet(
+            request(), NotRun(ResultCode.OVERLOADED, come_back=9)
+        )
         answer = coap.decode(packet)
         assert answer.code == coap.SERVICE_UNAVAILABLE
         assert answer.opt.max_age == 9
@@ -64,7 +71,7 @@
         assert answer.mid == 7
 
     def test_unknown(self):
-        answer = coap.decode(told(request(), Unknown()))
+        answer = coap.decode(outcome_packet(request(), Unknown()))
         assert answer.code == coap.GATEWAY_TIMEOUT
         assert answer.payload == b'outcome_unknown'
 
@@ -78,17 +85,17 @@
         ],
     )
     def test_again_without_a_kept_packet(self, begun, code):
-        answer = coap.decode(told_again(request(), begun))
+        answer = coap.decode(reply_packet(request(), begun))
         assert answer.code == code
         assert answer.mid == 7
 
     @pytest.mark.parametrize('begun', [Answered, WasNotRun, OutcomeUnknown])
     def test_again_as_before(self, begun):
-        assert told_again(request(), begun(b'kept')) == b'kept'
+        assert reply_packet(request(), begun(b'kept')) == b'kept'
 
     def test_nothing_to_tell(self):
-        assert told_again(request(), Fresh()) is None
-        assert told_again(request(mtype=coap.NON), Running()) is None
+        assert reply_packet(request(), Fresh()) is None
+        assert reply_packet(request(mtype=coap.NON), Running()) is None
 
 
 class TestRequestFilters:
--- a/redwingstream/running.py
+++ b/redwingstream/running.py
@@ -80,11 +80,11 @@
 ) -> None:
     from redwingstream.control.recovery import (  # noqa: WPS433 - one role
         ControlSettings,
-        recover_alone,
+        recover_single_replica,
     )
 
     control_settings = _as_control_settings(ControlSettings, settings, key)
-    recover_alone(control_settings, settings.lose_changes_after)
+    recover_single_replica(control_settings, settings.lose_changes_after)
 
 
 async def _run_control(
--- a/redwingstream/storage/store.py
+++ b/redwingstream/storage/store.py
@@ -43,7 +43,7 @@
 
 
 @attrs.define
-class Loaded:
+class LoadedState:
     """What a replica remembers when it starts.
 
     Parameters
@@ -64,7 +64,7 @@
     entries: list[Entry] = attrs.field(factory=list)
 
 
-class Store:
+class ReplicaStore:
     """Durable state in a folder.
 
     Parameters
@@ -83,7 +83,7 @@
     def __init__(self, folder: Folder) -> None:
         self._folder = folder
 
-    def load(self, draw_identity: Callable[[], int]) -> Loaded:
+    def load(self, draw_identity: Callable[[], int]) -> LoadedState:
         """Read what is there, or make a new replica in an empty folder.
 
         Parameters
@@ -100,7 +100,7 @@
         contents = self._folder.read(IDENTITY_FILE)
         if contents is None:
             return self._create(draw_identity())
-        loaded = Loaded(
+        loaded = LoadedState(
             _read_whole(IDENTITY_FILE, contents, _Identity).identity
         )
         snapshot = self._folder.read(SNAPSHOT_FILE)
@@ -136,7 +136,7 @@
         records = _journal_records(hard_state, entries)
         replace_durably(self._folder, JOURNAL_FILE, pack_file(records))
 
-    def _create(self, identity: int) -> Loaded:
+    def _create(self, identity: int) -> LoadedState:
         for name in (JOURNAL_FILE, SNAPSHOT_FILE):
             if self._folder.read(name) is not None:
                 raise _missing(IDENTITY_FILE, name)
@@ -148,9 +148,9 @@
         )
         replace_durably(self._folder, JOURNAL_FILE, pack_file([]))
         _logger.info('storage: new replica with identity %d.', identity)
-        return Loaded(identity)
+        return LoadedState(identity)
 
-    def _load_journal(self, loaded: Loaded) -> None:
+    def _load_journal(self, loaded: LoadedState) -> None:
         contents = self._folder.read(JOURNAL_FILE)
         if contents is None:
             if loaded.snapshot is not None:
@@ -207,7 +207,7 @@
         raise damaged(name, f'a record cannot be read ({error})') from error
 
 
-def _replay(record: StoredRecord, loaded: Loaded) -> None:
+def _replay(record: StoredRecord, loaded: LoadedState) -> None:
     match record.kind:
         case RecordKind.HARD_STATE:
             loaded.hard_state = _decode(JOURNAL_FILE, record, HardState)
@@ -217,7 +217,7 @@
             raise damaged(JOURNAL_FILE, f'kind {record.kind} is unknown')
 
 
-def _replay_entry(entry: Entry, loaded: Loaded) -> None:
+def _replay_entry(entry: Entry, loaded: LoadedState) -> None:
     base = 0 if loaded.snapshot is None else loaded.snapshot.index
     kept = entry.index - base - 1
     if kept < 0:
--- a/redwingstream/storage/tests/test_store.py
+++ b/redwingstream/storage/tests/test_store.py
@@ -15,8 +15,8 @@
     IDENTITY_FILE,
     JOURNAL_FILE,
     SNAPSHOT_FILE,
-    Loaded,
-    Store,
+    LoadedState,
+    ReplicaStore,
 )
 from redwingstream.storage.tests.fakes import FakeFolder, PowerCutError
 
@@ -32,13 +32,13 @@
 def make_folder(seed: int = 0) -> FakeFolder:
     """Return a folder in which a replica has three synced entries."""
     folder = FakeFolder(random.Random(seed))
-    store = Store(folder)
+    store = ReplicaStore(folder)
     store.load(lambda: IDENTITY)
     store.save(HardState(3, 'a'), [make_entry(index) for index in (1, 2, 3)])
     return folder
 
 
-def write_on(store: Store) -> Iterator[int]:
+def write_on(store: ReplicaStore) -> Iterator[int]:
     """Write more, and yield the index up to which all is saved."""
     store.save(None, [make_entry(4)])
     yield 4
@@ -49,9 +49,9 @@
     yield 5
 
 
-def load(folder: FakeFolder) -> Loaded:
+def load(folder: FakeFolder) -> LoadedState:
     """Read a folder as a replica does when it starts."""
-    return Store(folder).load(lambda: IDENTITY + 1)
+    return ReplicaStore(folder).load(lambda: IDENTITY + 1)
 
 
 def code_of(folder: FakeFolder) -> ResultCode:
@@ -72,13 +72,15 @@
 
     def test_an_entry_replaces_all_from_its_index_on(self) -> None:
         folder = make_folder()
-        Store(folder).save(None, [make_entry(2, term=4)])
+        ReplicaStore(folder).save(None, [make_entry(2, term=4)])
         assert load(folder).entries == [make_entry(1), make_entry(2, term=4)]
 
     def test_a_snapshot_replaces_entries(self) -> None:
         folder = make_folder()
         snapshot = Snapshot(2, 1, GROUP, b'state')
-        Store(folder).save_snapshot(snapshot, HardState(3), [make_entry(3)])
+        ReplicaStore(folder).save_snapshot(
+            snapshot, HardState(3), [make_entry(3)]
+        )
         loaded = load(folder)
         assert loaded.snapshot == snapshot
         assert loaded.entries == [make_entry(3)]
@@ -103,7 +105,7 @@
         before its new contents were synced.
         """
         folder = make_folder(seed)
-        store = Store(folder)
+        store = ReplicaStore(folder)
         folder.operations_left = operations
         saved = 3
         try:
@@ -133,7 +135,7 @@
         folder = FakeFolder(random.Random(seed))
         folder.operations_left = operations
         try:
-            Store(folder).load(lambda: IDENTITY)
+            ReplicaStore(folder).load(lambda: IDENTITY)
         except PowerCutError:
             folder.crash()
         folder.operations_left = None
@@ -176,7 +178,7 @@
     def test_refuses_a_damaged_whole_file(self, name: str) -> None:
         folder = make_folder()
         snapshot = Snapshot(3, 1, GROUP, b'state')
-        Store(folder).save_snapshot(snapshot, HardState(3), [])
+        ReplicaStore(folder).save_snapshot(snapshot, HardState(3), [])
         folder.corrupt(name, len(folder.read(name)) - 1)
         assert code_of(folder) is ResultCode.DATA_DAMAGED
 
@@ -189,7 +191,7 @@
     def test_refuses_a_folder_with_a_file_missing(self, name: str) -> None:
         folder = make_folder()
         snapshot = Snapshot(3, 1, GROUP, b'state')
-        Store(folder).save_snapshot(snapshot, HardState(3), [])
+        ReplicaStore(folder).save_snapshot(snapshot, HardState(3), [])
         folder.remove(name)
         assert code_of(folder) is ResultCode.DATA_MISSING
 
@@ -202,7 +204,7 @@
         folder = make_folder()
         folder.failure = ResultCode.DISK_FULL
         with pytest.raises(StorageError) as caught:
-            Store(folder).save(None, [make_entry(4)])
+            ReplicaStore(folder).save(None, [make_entry(4)])
         assert caught.value.code is ResultCode.DISK_FULL
         folder.failure = None
         assert len(load(folder).entries) == 3
@@ -213,14 +215,14 @@
 
     def test_keeps_what_was_saved(self, tmp_path) -> None:
         with open_folder(tmp_path / 'data') as folder:
-            store = Store(folder)
+            store = ReplicaStore(folder)
             store.load(lambda: IDENTITY)
             store.save(HardState(2, 'b'), [make_entry(1)])
             snapshot = Snapshot(1, 1, GROUP, b'state')
             store.save_snapshot(snapshot, HardState(2, 'b'), [])
             store.save(None, [make_entry(2)])
         with open_folder(tmp_path / 'data') as folder:
-            loaded = Store(folder).load(lambda: IDENTITY + 1)
+            loaded = ReplicaStore(folder).load(lambda: IDENTITY + 1)
         assert loaded.identity == IDENTITY
         assert loaded.snapshot == snapshot
         assert loaded.entries == [make_entry(2)]
--- a/redwingstream/tables/history.py
+++ b/redwingstream/tables/history.py
@@ -27,7 +27,7 @@
         self.tables = Tables()
         self._updates: deque[TablesUpdate] = deque(maxlen=KEPT_UPDATES)
 
-    def take(self, update: TablesUpdate) -> bool:
+    def apply_update(self, update: TablesUpdate) -> bool:
         """Apply an update; return whether it brought anything newer."""
         newer = self.tables.updated(update)
         if newer is self.tables:
@@ -39,7 +39,7 @@
         self.tables = newer
         return True
 
-    def since(self, revision: int) -> TablesUpdate:
+    def update_since(self, revision: int) -> TablesUpdate:
         """Return what changed after a revision, or a full copy."""
         wanted = [
             update for update in self._updates if update.revision > revision
--- a/redwingstream/tables/machine/checks.py
+++ b/redwingstream/tables/machine/checks.py
@@ -24,7 +24,7 @@
 )
 from redwingstream.tables.rows import (
     MAX_BUCKETS,
-    MAX_NAME,
+    MAX_NAME_LENGTH,
     Pool,
     Route,
     is_bucket_count,
@@ -162,10 +162,10 @@
 
 
 def _check_name(what: str, name: str) -> None:
-    if not 0 < len(name) <= MAX_NAME or not name.isprintable():
+    if not 0 < len(name) <= MAX_NAME_LENGTH or not name.isprintable():
         raise _bad_row(
-            f'{what} {name[:MAX_NAME]!r} is not allowed; give it 1 to '
-            f'{MAX_NAME} printable characters',
+            f'{what} {name[:MAX_NAME_LENGTH]!r} is not allowed; give it 1 to '
+            f'{MAX_NAME_LENGTH} printable characters',
         )
 
 
--- a/redwingstream/tables/machine/machine.py
+++ b/redwingstream/tables/machine/machine.py
@@ -37,10 +37,10 @@
 from redwingstream.tables.snapshot import Tables
 from redwingstream.wire import messages
 
-Outcome = ChangeAnswer | Member | None
+CommandResult = ChangeAnswer | Member | None
 
 
-class Machine:
+class StateMachine:
     """The replicated state; the same entries make the same state anywhere.
 
     Notes
@@ -61,7 +61,7 @@
             self._tables = self.state.tables()
         return self._tables
 
-    def apply(self, entry: Entry) -> Outcome:
+    def apply(self, entry: Entry) -> CommandResult:
         """Apply the next entry.
 
         Parameters
@@ -97,7 +97,7 @@
         self._deltas = Deltas(self.state.revision)
         self._tables = Tables()
 
-    def _dispatch(self, command: object, index: int) -> Outcome:
+    def _dispatch(self, command: object, index: int) -> CommandResult:
         state = self.state
         match command:
             case ChangeRequest():
--- a/redwingstream/tables/machine/replacements.py
+++ b/redwingstream/tables/machine/replacements.py
@@ -24,7 +24,7 @@
 )
 from redwingstream.tables.messages import Table
 from redwingstream.tables.rows import (
-    MAX_EARLIER,
+    MAX_EARLIER_POOLS,
     Pool,
     Route,
     Row,
@@ -109,7 +109,7 @@
         return route
     names = dict.fromkeys((*former.pools, *former.rules.earlier))
     earlier = [name for name in names if name not in route.pools]
-    kept = tuple(earlier[:MAX_EARLIER])
+    kept = tuple(earlier[:MAX_EARLIER_POOLS])
     return attrs.evolve(route, flows=attrs.evolve(route.rules, earlier=kept))
 
 
--- a/redwingstream/tables/machine/views.py
+++ b/redwingstream/tables/machine/views.py
@@ -13,7 +13,7 @@
     ViewMember,
 )
 
-MAX_UNSETTLED = 16
+MAX_UNSETTLED_VIEWS = 16
 
 
 def recompute_views(state: MachineState, index: int) -> None:
@@ -42,7 +42,7 @@
     state.put(Table.VIEW, command.pool, attrs.evolve(view, unsettled=()))
 
 
-def why_kept_out(state: MachineState, member: Member) -> str:
+def exclusion_reason(state: MachineState, member: Member) -> str:
     """Return why a member is in no view; empty when it is in one."""
     if member.role is not Role.AGENT:
         return ''
@@ -85,7 +85,7 @@
 
 def _serves(state: MachineState, member: Member) -> bool:
     is_agent = member.role is Role.AGENT
-    return is_agent and not why_kept_out(state, member)
+    return is_agent and not exclusion_reason(state, member)
 
 
 def _host_of(member: ViewMember) -> str:
@@ -110,10 +110,10 @@
         return current.unsettled
     latest = EarlierView(current.number, current.members)
     chain = (latest, *current.unsettled)
-    if len(chain) <= MAX_UNSETTLED:
+    if len(chain) <= MAX_UNSETTLED_VIEWS:
         return chain
     # A chain without limit would grow with each flapping member.  What is cut
     # off cannot be asked any more, and must not be taken for settled either:
     # a replay of a request recorded there would run a second time.
-    marker = unknown_view(chain[MAX_UNSETTLED - 1].number)
-    return (*chain[: MAX_UNSETTLED - 1], marker)
+    marker = unknown_view(chain[MAX_UNSETTLED_VIEWS - 1].number)
+    return (*chain[: MAX_UNSETTLED_VIEWS - 1], marker)
--- a/redwingstream/tables/rows.py
+++ b/redwingstream/tables/rows.py
@@ -16,7 +16,7 @@
 DEFAULT_WEIGHT = 100
 MAX_WEIGHT = 10000
 # Characters of a name or an address in a row.
-MAX_NAME = 255
+MAX_NAME_LENGTH = 255
 
 
 def is_bucket_count(count: int) -> bool:
@@ -48,7 +48,7 @@
     weight: int
 
 
-MAX_EARLIER = 4
+MAX_EARLIER_POOLS = 4
 """Former pools of a route that are kept.  Flows live for a minute at most, and
 more than four changes of one route's pool within a minute are no use to
 anybody."""
--- a/redwingstream/tables/tests/test_history.py
+++ b/redwingstream/tables/tests/test_history.py
@@ -50,14 +50,14 @@
         to revision 1 late, after that to revision 2.
         """
         history = TablesHistory()
-        assert history.take(zone_update(0, 2, out=True))
-        assert not history.take(zone_update(0, 1, out=False))
+        assert history.apply_update(zone_update(0, 2, out=True))
+        assert not history.apply_update(zone_update(0, 1, out=False))
         assert history.tables.is_zone_out('carse')
 
     def test_refuses_an_update_with_a_gap_before_it(self) -> None:
         history = TablesHistory()
-        history.take(zone_update(0, 2, out=True))
-        assert not history.take(zone_update(5, 6, out=False))
+        history.apply_update(zone_update(0, 2, out=True))
+        assert not history.apply_update(zone_update(5, 6, out=False))
 
     @given(
         have=st.integers(0, 30), reach=st.integers(1, 30), known=st.integers(1)
@@ -67,20 +67,20 @@
     ) -> None:
         start = min(known, reach)
         history = TablesHistory()
-        history.take(tables_at(start).as_update())
+        history.apply_update(tables_at(start).as_update())
         for number in range(start + 1, reach + 1):
-            history.take(update_at(number))
+            history.apply_update(update_at(number))
         peer = tables_at(min(have, reach))
-        update = history.since(peer.revision)
+        update = history.update_since(peer.revision)
         assert peer.updated(update) == tables_at(reach)
 
     def test_keeps_a_bounded_number_of_updates(self) -> None:
         history = TablesHistory()
-        history.take(tables_at(1).as_update())
+        history.apply_update(tables_at(1).as_update())
         for number in range(2, KEPT_UPDATES + 10):
-            history.take(update_at(number))
-        assert history.since(2).since == 0
-        assert history.since(KEPT_UPDATES).since == KEPT_UPDATES
+            history.apply_update(update_at(number))
+        assert history.update_since(2).since == 0
+        assert history.update_since(KEPT_UPDATES).since == KEPT_UPDATES
 
 
 class TestCompose:
--- a/redwingstream/tables/tests/test_machine.py
+++ b/redwingstream/tables/tests/test_machine.py
@@ -21,7 +21,7 @@
 )
 from redwingstream.tables.history import TablesHistory
 from redwingstream.tables.machine.deltas import Deltas
-from redwingstream.tables.machine.machine import Machine
+from redwingstream.tables.machine.machine import StateMachine
 from redwingstream.tables.machine.messages import (
     AdmitMember,
     LeaveMember,
@@ -29,7 +29,10 @@
     SettleView,
 )
 from redwingstream.tables.machine.state import MAX_ANSWERS, MachineState
-from redwingstream.tables.machine.views import MAX_UNSETTLED, why_kept_out
+from redwingstream.tables.machine.views import (
+    MAX_UNSETTLED_VIEWS,
+    exclusion_reason,
+)
 from redwingstream.tables.messages import (
     RowName,
     Table,
@@ -58,7 +61,7 @@
     """A state machine that is fed one command after the other."""
 
     def __init__(self) -> None:
-        self.machine = Machine()
+        self.machine = StateMachine()
         self.index = 0
         self.requests = 0
 
@@ -305,7 +308,7 @@
     def test_a_host_not_admitted_is_kept_out(self, bench: Bench) -> None:
         member = bench.admit('cover-1')
         assert 'cover-1' not in bench.hosts()
-        assert 'sward-*' in why_kept_out(bench.machine.state, member)
+        assert 'sward-*' in exclusion_reason(bench.machine.state, member)
 
     def test_a_draining_member_leaves_views_only(self, bench: Bench) -> None:
         member = bench.member('sward-1')
@@ -342,13 +345,13 @@
         oldest earlier view dropped, a new home would take a replay of a
         request recorded under it for a new one.
         """
-        for boot in range(2, 2 * MAX_UNSETTLED):
+        for boot in range(2, 2 * MAX_UNSETTLED_VIEWS):
             bench.admit('sward-1', boot=boot)
         view = bench.view()
-        assert len(view.unsettled) == MAX_UNSETTLED
+        assert len(view.unsettled) == MAX_UNSETTLED_VIEWS
         latest = view.members[0].incarnation
         keeper = BucketKeeper('sward-1', latest, view.pool, MemoryStore(), 247)
-        keeper.adopt(view, 0)
+        keeper.apply_view(view, 0)
         assert isinstance(keeper.status(0), Recovering)
         assert all(earlier.members for earlier in view.unsettled[:-1])
 
@@ -443,8 +446,8 @@
         ahead = bench.machine.tables.revision + 1
         update = bench.machine.update_since(ahead)
         member = TablesHistory()
-        member.take(bench.machine.update_since(0))
-        assert member.since(ahead) == update
+        member.apply_update(bench.machine.update_since(0))
+        assert member.update_since(ahead) == update
         assert update.revision == bench.machine.tables.revision
         assert not update.zones
         assert not update.pools
