--- a/redwingstream/agent/awaited_outcomes.py
+++ b/redwingstream/agent/awaited_outcomes.py
@@ -15,6 +15,7 @@
 from redwingstream.requests.slots import Identity
 
 MAX_RUN_SECONDS = MAX_REQUEST_SECONDS + 1
+"""Seconds after which the outcome of a request is not expected any more."""
 
 
 @attrs.frozen(eq=False)
--- a/redwingstream/agent/non_idempotent.py
+++ b/redwingstream/agent/non_idempotent.py
@@ -57,7 +57,7 @@
     run : Run
         The request.
     sent_at : float
-        When it was recorded, in seconds by the event loop's clock.
+        When its record was sent, in seconds by the event loop's clock.
     slot : Slot, optional
         Its reserved slot on the server beside this agent.
     carrier : str
@@ -189,9 +189,9 @@
 
     def tick(self, now: float) -> None:
         """Repeat assignments; end those whose carrier does not answer."""
-        given_up = self._assignments.tick(now)
-        given_up.extend(self._awaited.pop_hopeless(now))
-        for run in given_up:
+        hopeless = self._assignments.tick(now)
+        hopeless.extend(self._awaited.pop_hopeless(now))
+        for run in hopeless:
             self._endings.end_unknown(run, now)
         # Iterates over a copy: a released slot admits a waiting request,
         # which may end others.
--- a/redwingstream/agent/outgoing_assignments.py
+++ b/redwingstream/agent/outgoing_assignments.py
@@ -8,7 +8,11 @@
 from redwingstream.requests.slots import Identity
 
 REPEAT_INTERVAL = 0.25
+"""Seconds between two copies of an assignment."""
+
 MAX_COPIES = 4
+"""Maximum number of copies of an assignment, with the first one."""
+
 OUTCOME_GRACE = 1.0
 """Seconds after the deadline of a request in which its outcome is still
 awaited."""
--- a/redwingstream/agent/packet_dispatcher.py
+++ b/redwingstream/agent/packet_dispatcher.py
@@ -28,6 +28,8 @@
 from redwingstream.wire import coap
 
 MAX_HOPS = 2
+"""Maximum number of times that agents pass a packet on."""
+
 PLAIN_HOLD_TIMEOUT = 0.25
 """Seconds for which a plain idempotent request is held until its bucket is in
 effect."""
--- a/redwingstream/agent/request_executor.py
+++ b/redwingstream/agent/request_executor.py
@@ -17,6 +17,7 @@
 from redwingstream.requests.records import RequestState
 from redwingstream.wire import coap
 
+# Seconds between two trial requests to a server that does not answer.
 _TRIAL_INTERVAL = 1.0
 
 
--- a/redwingstream/agent/store.py
+++ b/redwingstream/agent/store.py
@@ -6,6 +6,7 @@
 from redwingstream.requests.ledger import Ledger
 from redwingstream.requests.slots import Identity
 
+# Capacities in entries, for all buckets together.
 LEDGER_CAPACITY = 65536
 FLOW_CAPACITY = 65536
 TRANSFER_CAPACITY = 8192
--- a/redwingstream/agent/tests/exchange.py
+++ b/redwingstream/agent/tests/exchange.py
@@ -13,6 +13,8 @@
 import attrs
 
 TICK = 0.05
+"""Seconds between two ticks of each process."""
+
 TRAVEL_SECONDS = 0.002
 """Network delay of a frame in seconds."""
 
--- a/redwingstream/agent/tests/pool.py
+++ b/redwingstream/agent/tests/pool.py
@@ -67,7 +67,7 @@
 
 @attrs.frozen
 class Admitted:
-    """Control's message that tells a process its incarnation."""
+    """Answer of the control instances that contains a process's incarnation."""
 
     incarnation: int
 
@@ -114,17 +114,17 @@
             case Tables(revision=revision):
                 if revision > self.tables.revision:
                     self.tables = frame.payload
-                    self._apply(now)
+                    self._apply_tables(now)
             case Admitted(incarnation):
                 self._incarnation = incarnation
-                self._apply(now)
+                self._apply_tables(now)
             case Fetch():
                 self.to_peer(frame.source, self.tables)
             case Probe(revision):
                 self.to_peer(frame.source, ProbeAck(self.tables.revision))
                 self.fetch_if_newer(revision, frame.source)
             case _:
-                self._handle(frame, now)
+                self._handle_message(frame, now)
 
     def tick(self, now: float) -> None:
         """Send a heartbeat if due, and run periodic work."""
@@ -153,7 +153,7 @@
         if revision > self.tables.revision:
             self.to_peer(endpoint, Fetch())
 
-    def _handle(self, frame: Frame, now: float) -> None:
+    def _handle_message(self, frame: Frame, now: float) -> None:
         match frame.payload:
             case ServerPacket(payload, source):
                 self.runner.handle_server_packet(payload, source, now)
@@ -163,7 +163,7 @@
             case _:
                 self.runner.handle_frame(frame.payload, frame.source, now)
 
-    def _apply(self, now: float) -> None:
+    def _apply_tables(self, now: float) -> None:
         self.runner.apply_tables(self.tables, self._incarnation, now)
 
 
@@ -186,11 +186,11 @@
             case CallerPacket():
                 self._forward(frame.payload, now)
             case Answer(revision, caller, service, payload):
-                self._heard(frame.source, revision)
+                self._record_heard(frame.source, revision)
                 packet = CallerPacket(caller, service, payload)
                 self._exchange.send(self.endpoint, caller, packet)
             case ProbeAck(revision):
-                self._heard(frame.source, revision)
+                self._record_heard(frame.source, revision)
             case Fetch():
                 self._exchange.send(self.endpoint, frame.source, self.tables)
 
@@ -200,7 +200,7 @@
             probe = Probe(self.tables.revision)
             self._exchange.send(self.endpoint, str(peer), probe)
 
-    def _heard(self, source: str, revision: int) -> None:
+    def _record_heard(self, source: str, revision: int) -> None:
         self._forwarder.links.heard(parse_endpoint(source))
         if revision > self.tables.revision:
             self._exchange.send(self.endpoint, source, Fetch())
@@ -422,8 +422,8 @@
         self.control.replace_balancers(self.balancers)
         for caller in self.callers:
             caller.balancers = self.balancers
-        for gone in former:
-            self.kill(gone)
+        for former_endpoint in former:
+            self.kill(former_endpoint)
 
     def leave(self, host: str) -> None:
         """Make an agent leave, as when its process is told to stop."""
@@ -455,9 +455,9 @@
     def caller(self, number: int = 1) -> FakeCaller:
         """Create and return a caller."""
         address = f'192.0.2.{number}:5000'
-        made = FakeCaller(self.exchange, address, SERVICE, self.balancers)
-        self.callers.append(made)
-        return made
+        new_caller = FakeCaller(self.exchange, address, SERVICE, self.balancers)
+        self.callers.append(new_caller)
+        return new_caller
 
     def pair(self, caller: FakeCaller) -> tuple[str, str]:
         """Return the hosts of home and heir of a caller's bucket."""
--- a/redwingstream/agent/wait_queue.py
+++ b/redwingstream/agent/wait_queue.py
@@ -17,6 +17,7 @@
 """Maximum seconds of the expected and of the actual wait of a request."""
 
 MAX_WAITING = 64
+"""Maximum number of waiting requests."""
 
 
 @attrs.frozen(eq=False)
