--- a/redwingstream/agent/feed_moves.py
+++ b/redwingstream/agent/feed_moves.py
@@ -104,7 +104,20 @@
     def place(
         self, record: FlowRecord, observe: int, former: str, now: float
     ) -> None:
-        """Choose a new carrier and record it at home and heir."""
+        """Choose a new carrier and record it at home and heir.
+
+        Parameters
+        ----------
+        record : FlowRecord
+            Present record of the feed.
+        observe : int
+            Highest Observe number that the caller may have received.
+        former : str
+            ``IP:PORT`` of the carrier that still serves the feed; empty if
+            there is none.
+        now : float
+            Current time in seconds, by the event loop's clock.
+        """
         carrier = self._choose_carrier(former, now)
         if not carrier:
             self._parts.metrics.count('feed_without_carrier')
--- a/redwingstream/agent/role.py
+++ b/redwingstream/agent/role.py
@@ -27,6 +27,7 @@
 """Seconds between two ticks of the decision logic."""
 
 _DRAIN_TICK = 0.1
+"""Seconds between two checks whether a draining agent has finished."""
 
 
 class AgentRole:
--- a/redwingstream/agent/tests/fake_server.py
+++ b/redwingstream/agent/tests/fake_server.py
@@ -11,6 +11,8 @@
 
 RUN_TIME = 0.02
 SEPARATE_ACK_SECONDS = 1.0
+"""Duration of a run in seconds above which the ACK precedes the answer."""
+
 NOTIFY_INTERVAL = 1.0
 BLOCK_SIZE = 6
 
--- a/redwingstream/agent/tests/faults.py
+++ b/redwingstream/agent/tests/faults.py
@@ -8,10 +8,18 @@
 from redwingstream.agent.tests.pool import Agent, FakePool
 
 FAULT_SECONDS = 5.0
+"""Duration in seconds of a fault that lasts."""
+
 DELAY = 1.5
+"""Seconds by which a delayed frame or a duplicate arrives later."""
+
 REORDER_DELAY = 0.03
+"""Seconds of delay that let the next frames arrive first."""
+
 RESTART_TIME = 0.5
 CHANGE_INTERVAL = 0.05
+"""Seconds between a change of view and the loss of the former heir."""
+
 PAIR_LOST = 'pair lost'
 
 Fault = Callable[[FakePool, Frame], 'tuple[float, ...] | None']
--- a/redwingstream/agent/tests/matrix.py
+++ b/redwingstream/agent/tests/matrix.py
@@ -29,15 +29,36 @@
 """Seconds that a cell continues after every request has its outcome."""
 
 FRESHNESS_SECONDS = 3.0
+"""Maximum age in seconds of the last notification of a fresh feed."""
+
 POST_TIMES = (0, 0.04, 0.1, 0.5, 1, 2, 4)
 """Times of the caller's requests, in seconds after the scenario begins."""
 
 _FILLING_TIME = 0.8
+"""Duration in seconds of the runs that fill the server of the home."""
 
 
 @attrs.define(eq=False)
 class Cell:
-    """One run of a scenario, with a fault at a step."""
+    """One run of a scenario, with a fault at a step.
+
+    Parameters
+    ----------
+    step : Step
+        Step of the protocol at which the fault happens.
+    fault : str
+        Name of the fault.
+    requests : list of SentRequest
+        Requests of the caller.
+    watched : WatchedFeed or None
+        Feed of the caller, once it is registered.
+    caller : FakeCaller or None
+        Caller of the scenario.
+    fault_at : float or None
+        Time of the fault in seconds; None while the step is not reached.
+    is_carrier_lost : bool
+        Whether the fault takes home, heir and carrier of the feed at once.
+    """
 
     step: Step
     fault: str
--- a/redwingstream/agent/tests/soak.py
+++ b/redwingstream/agent/tests/soak.py
@@ -19,8 +19,14 @@
 CALLERS = 6
 ROUNDS = 24
 LOSS = 0.01
+"""Share of frames that are lost."""
+
 REPEATED = 0.01
+"""Share of frames that arrive twice."""
+
 DELAYED = 0.02
+"""Share of frames that arrive late."""
+
 LONGEST_DELAY = 0.4
 SHORTEST_FAULT = 0.3
 LONGEST_FAULT = 6.0
@@ -38,6 +44,13 @@
         Seed of all random choices.
     faults_at_once : int
         Maximum count of agents with a fault at the same time.
+
+    Attributes
+    ----------
+    requests : list of SentRequest
+        Requests sent by all callers.
+    watched : list of WatchedFeed
+        One feed of each caller.
     """
 
     seed: int
--- a/redwingstream/agent/tests/test_feeds.py
+++ b/redwingstream/agent/tests/test_feeds.py
@@ -96,13 +96,13 @@
         pool.run(0.2)
         assert first.outcome == 'answered'
         pool.kill(CONTROL)
-        record = _placement(pool, caller, home)
+        record = _carrier_of_flow(pool, caller, home)
         pool.kill(pool.endpoint_by_host[record.partition('#')[0]])
         request = caller.get(b'map 2')
         pool.run(10)
         assert request.outcome != 'none'
 
-    def test_cut_off_carrier_lets_go(self) -> None:
+    def test_cut_off_carrier_stops_serving(self) -> None:
         """A carrier stops serving a feed that was moved while it was cut off.
 
         The carrier returns with its state and continues to send.  After 128 s
@@ -126,7 +126,7 @@
 class TestLostHome:
     """A home that dies while another agent carries the feed."""
 
-    def test_acks_through_the_heir(self) -> None:
+    def test_acks_reach_carrier_through_heir(self) -> None:
         """A feed survives the loss of control and of its home.
 
         The notifications reach the caller, but its ACKs are routed through the
@@ -230,7 +230,7 @@
         assert not watched.ended
 
     @pytest.mark.parametrize('seconds', [0.3, 1, 4])
-    def test_new_carrier_never_heard(self, seconds: float) -> None:
+    def test_message_to_new_carrier_lost(self, seconds: float) -> None:
         """A feed continues when the message to its new carrier is lost.
 
         The leaving home moves the feed, and the message to the new carrier is
@@ -251,7 +251,7 @@
         assert not watched.ended
         assert watched.longest_gap(pool.exchange.now) < 6
 
-    def test_moves_are_paced(self) -> None:
+    def test_move_requests_are_rate_limited(self) -> None:
         """Requests to move a feed are sent at a limited rate.
 
         Otherwise each feed whose server does not accept it causes fifty
@@ -309,7 +309,7 @@
         assert all(map(len, (watched.seen_at for watched in opened)))
 
 
-def _placement(pool: FakePool, caller: FakeCaller, home: str) -> str:
+def _carrier_of_flow(pool: FakePool, caller: FakeCaller, home: str) -> str:
     flows = pool.agent(home).core.parts.store.flows
     record = flows.carrier_of(
         caller.address, pool.service, b'', pool.exchange.now
--- a/redwingstream/agent/tests/test_leaving.py
+++ b/redwingstream/agent/tests/test_leaving.py
@@ -94,7 +94,7 @@
         pool.run(0.1)
         assert request.outcome == 'unknown'
 
-    def test_mark_taken_back(self) -> None:
+    def test_draining_mark_removed(self) -> None:
         pool = settled_pool()
         caller = pool.caller()
         home, _ = pool.pair(caller)
--- a/redwingstream/agent/tests/test_server_sockets.py
+++ b/redwingstream/agent/tests/test_server_sockets.py
@@ -19,7 +19,7 @@
 class TestServerSockets:
     """Sending to a server that restarts."""
 
-    async def test_sends_the_request_that_meets_an_earlier_error(
+    async def test_sends_request_after_earlier_error(
         self,
     ) -> None:
         """A request is not lost to the error of an earlier packet.
