--- a/redwingstream/agent/tests/pool.py
+++ b/redwingstream/agent/tests/pool.py
@@ -200,13 +200,8 @@
             probe = Probe(self.tables.revision)
             self._exchange.send(self.endpoint, str(peer), probe)
 
-<<<<<<< HEAD
-    def _heard(self, source: str, revision: int) -> None:
-        self._forwarder.links.record_heard(parse_endpoint(source))
-=======
     def _record_heard(self, source: str, revision: int) -> None:
-        self._forwarder.links.heard(parse_endpoint(source))
->>>>>>> part-4
+        self._forwarder.links.record_heard(parse_endpoint(source))
         if revision > self.tables.revision:
             self._exchange.send(self.endpoint, source, Fetch())
 
