--- a/redwingstream/agent/factory.py
+++ b/redwingstream/agent/factory.py
@@ -23,7 +23,7 @@
 
 
 def make_parts(
-    me: AgentIdentity,
+    identity: AgentIdentity,
     capacity: ServerCapacity,
     out: Outputs,
     metrics: Metrics,
@@ -33,7 +33,7 @@
 
     Parameters
     ----------
-    me : AgentIdentity
+    identity : AgentIdentity
         Identity of this run of the agent.
     capacity : ServerCapacity
         Maximum load of its backend server.
@@ -45,23 +45,23 @@
         Random source of tokens, delays and choices.
     """
     paths = ReturnPaths()
-    store = AgentStore(me.carrier, REPLAY_HORIZON)
+    store = AgentStore(identity.carrier, REPLAY_HORIZON)
     keeper = BucketKeeper(
-        host=me.host,
-        incarnation=me.incarnation,
-        pool=me.pool,
+        host=identity.host,
+        incarnation=identity.incarnation,
+        pool=identity.pool,
         store=store,
         replay_horizon=REPLAY_HORIZON,
-        buckets=me.buckets,
+        buckets=identity.buckets,
     )
     return AgentParts(
-        identity=me,
+        identity=identity,
         out=out,
         metrics=metrics,
         store=store,
         keeper=keeper,
         upstream=Upstream(rng),
-        feeds=FeedCarrier(me.carrier, me.pool, paths, rng),
+        feeds=FeedCarrier(identity.carrier, identity.pool, paths, rng),
         paths=paths,
         limit=ConcurrencyLimit(capacity.slots),
         feed_limit=FeedLimit(capacity.connections),
--- a/redwingstream/agent/feed_moves.py
+++ b/redwingstream/agent/feed_moves.py
@@ -109,7 +109,7 @@
         Parameters
         ----------
         record : FlowRecord
-            Present record of the feed.
+            Current record of the feed.
         observe : int
             Highest Observe number that the caller may have received.
         former : str
