--- a/redwingstream/flows/receiving.py
+++ b/redwingstream/flows/receiving.py
@@ -54,7 +54,7 @@
         except WireError:
             self._counters.malformed += 1
             return []
-        self._links.record_heard(source, now)
+        self._links.heard(source, now)
         if message.code is coap.EMPTY:
             return self._take_empty(message, now, source)
         if message.code.is_response():
