--- a/redwingstream/agent/non_idempotent.py
+++ b/redwingstream/agent/non_idempotent.py
@@ -251,7 +251,10 @@
         self._perform(effects, now)
 
     def _release_late_slot(self, ticket: int, now: float) -> None:
-        """Release a slot whose request has waited too long for the heir."""
+        """Release a slot whose request has waited too long for the heir.
+
+        The heir may be dead; other requests can use the slot meanwhile.
+        """
         waiting = self._waiting_by_ticket.get(ticket)
         if waiting is None or waiting.slot is None:
             return
--- a/redwingstream/agent/packet_dispatcher.py
+++ b/redwingstream/agent/packet_dispatcher.py
@@ -134,7 +134,8 @@
 
         A balancer with old tables may send to an instance address that now
         belongs to an agent of another pool.  Without this check the packet
-        would reach a server of the wrong pool.
+        would reach a server of the wrong pool.  Balancer and agent each decide
+        by their own tables.
         """
         if packet.pool != self._parts.identity.pool:
             return False
--- a/redwingstream/agent/parts.py
+++ b/redwingstream/agent/parts.py
@@ -80,7 +80,7 @@
 
 @attrs.define(eq=False)
 class AgentParts:
-    """State that the modules of an agent share.
+    """State that the modules of an agent share; each part has one owner.
 
     Parameters
     ----------
--- a/redwingstream/agent/tests/support.py
+++ b/redwingstream/agent/tests/support.py
@@ -20,7 +20,7 @@
 
 
 def warm_up(pool: FakePool) -> None:
-    """Send requests until the limit of every server has its full size."""
+    """Send enough requests for every server to reach its full limit."""
     for host in pool.living():
         pool.agent(host).core.parts.limit.set_expected_latency(
             _EXPECTED_LATENCY
--- a/redwingstream/agent/tests/test_requests.py
+++ b/redwingstream/agent/tests/test_requests.py
@@ -64,7 +64,8 @@
 
         The home runs the request and crashes; the answer is lost, and in one
         case the outcome does not reach the heir either.  The replay reaches
-        the heir while the home is silent.
+        the heir while the home is silent.  That only a home may decide on it
+        is no reason for the heir to refuse it.
         """
         pool = settled_pool()
         caller = pool.caller()
--- a/redwingstream/agent/wait_queue.py
+++ b/redwingstream/agent/wait_queue.py
@@ -3,7 +3,8 @@
 A server with two slots at half load has both in use a fifth of the time.  A
 request that is refused then costs its caller seconds, although a slot is free
 within milliseconds.  So a request may wait if the expected wait, by the
-server's latency and the requests before it, is short.
+server's latency and the requests before it, is short, and it is refused if the
+actual wait becomes longer.
 """
 
 from collections import deque
