--- a/redwingstream/agent/tests/test_wait_queue.py
+++ b/redwingstream/agent/tests/test_wait_queue.py
@@ -132,8 +132,8 @@
         """An agent that has just started must know the expected latency.
 
         Requests can wait only when it is known.  Until an agent has measured
-        it, it uses the latency that the other agents of the pool report; otherwise
-        its requests would be refused until its server is warm.
+        it, it uses the latency that the other agents of the pool report.
+        Otherwise requests would be refused there until its server is warm.
         """
         pool = FakePool(hosts=3, started=2)
         pool.run(3)
