--- a/asv_bench/feed_gaps.py
+++ b/asv_bench/feed_gaps.py
@@ -95,7 +95,8 @@
                 notification.mid = 1
                 notification.opt.observe = int(now / INTERVAL)
                 self._perform(
-                    self.carrier.update(source, notification, now), now
+                    self.carrier.handle_notification(source, notification, now),
+                    now,
                 )
         return [
             later - earlier
@@ -105,7 +106,7 @@
 
     def _open(self) -> None:
         for balancer in BALANCERS:
-            self._paths.heard(balancer, 0)
+            self._paths.record_heard(balancer, 0)
         for number in range(FEEDS):
             request = coap.Message(code=coap.GET, uri_path=('feed',))
             request.mtype = coap.NON
@@ -121,7 +122,7 @@
     def _run_until(self, end: float) -> None:
         for now in self._times(end):
             for balancer in BALANCERS:
-                self._paths.heard(balancer, now)
+                self._paths.record_heard(balancer, now)
             while self._events and self._events[0].at <= now:
                 self._take(heapq.heappop(self._events), now)
             self._perform(self.carrier.poll(now), now)
@@ -148,7 +149,9 @@
     def _take(self, event: _Event, now: float) -> None:
         if event.effect is None:
             reply = coap.decode(event.reply)
-            effects = self.carrier.reply(event.caller, SERVICE, reply, now)
+            effects = self.carrier.handle_reply(
+                event.caller, SERVICE, reply, now
+            )
             self._perform(effects, now)
             return
         packet = coap.decode(event.effect.payload)
--- a/asv_bench/flows.py
+++ b/asv_bench/flows.py
@@ -70,7 +70,7 @@
     def __init__(self) -> None:
         paths = ReturnPaths()
         for balancer in range(4):
-            paths.heard(f'10.2.0.{balancer}:7000', 0)
+            paths.record_heard(f'10.2.0.{balancer}:7000', 0)
         rng = random.Random(1)
         self.upstream = Upstream(rng, UpstreamLimits())
         self.carrier = FeedCarrier(
@@ -116,11 +116,13 @@
     def relay(self, packet: tuple[bytes, int], now: float) -> None:
         """Take one notification up to the caller's ACK."""
         update = self.upstream.receive(packet[0], now, packet[1])[-1]
-        given = self.carrier.update(update.owner, update.notification, now)[0]
+        given = self.carrier.handle_notification(
+            update.owner, update.notification, now
+        )[0]
         # The agent decodes the caller's ACK; it never decodes what it sent.
         message_id = int.from_bytes(given.payload[2:4], 'big')
         ack = coap.decode(coap.encode(coap.empty(coap.ACK, message_id)))
-        self.carrier.reply(given.caller, given.service, ack, now)
+        self.carrier.handle_reply(given.caller, given.service, ack, now)
 
     def ask(self, request: Message) -> None:
         """Send one plain request and take its answer."""
@@ -205,7 +207,7 @@
         callers = [caller_of(number) for number in range(COUNT)]
         spent = microseconds(
             lambda: [
-                table.carrier_of(caller, SERVICE, TOKEN, 1)
+                table.record_for(caller, SERVICE, TOKEN, 1)
                 for caller in callers
             ]
         )
--- a/properties/test_feeds.py
+++ b/properties/test_feeds.py
@@ -139,7 +139,7 @@
         """Restart a server; its agent gets an ICMP error."""
         self.servers[host].restart()
         agent = self.agents[host]
-        agent.carry_out(agent.upstream.refused(self.now), self.now)
+        agent.carry_out(agent.upstream.handle_unreachable(self.now), self.now)
         self.collect()
 
     @rule(silent=st.sets(st.sampled_from(BALANCERS), max_size=2))
@@ -158,7 +158,7 @@
         moved = record(host, generation)
         assert self.home.put(BUCKET, moved, self.now)
         agent = self.agents[host]
-        taken = agent.carrier.take(moved, handover.observe, self.now)
+        taken = agent.carrier.take_over(moved, handover.observe, self.now)
         agent.carry_out(taken, self.now)
         self.collect()
         self.put('moved', former.host, b'', generation)
@@ -169,7 +169,7 @@
         host = self.carrier()
         packet = coap.decode(REGISTRATION)
         agent = self.agents[host]
-        known = self.home.carrier_of(CALLER, SERVICE, TOKEN, self.now)
+        known = self.home.record_for(CALLER, SERVICE, TOKEN, self.now)
         asked = agent.carrier.register(known, packet, 'b1', self.now)
         agent.carry_out(asked, self.now)
         self.collect()
@@ -201,7 +201,7 @@
 
     def carrier(self) -> str:
         """Return the host that the home knows as the feed's carrier."""
-        known = self.home.carrier_of(CALLER, SERVICE, TOKEN, self.now)
+        known = self.home.record_for(CALLER, SERVICE, TOKEN, self.now)
         assert known is not None
         return known.carrier
 
@@ -236,7 +236,7 @@
                 self.from_caller(coap.decode(flying.packet))
             case InFlight(kind='moved'):
                 agent = self.agents[flying.host]
-                let_go = agent.carrier.moved(
+                let_go = agent.carrier.handle_moved(
                     FeedMoved(KEY, int(flying.through))
                 )
                 agent.carry_out(let_go, self.now)
@@ -252,9 +252,9 @@
 
     def from_caller(self, ack: Message) -> None:
         """Hand an ACK to the carriers that the home knows."""
-        for host in self.home.carriers(CALLER, SERVICE):
+        for host in self.home.feed_carriers(CALLER, SERVICE):
             agent = self.agents[host]
-            taken = agent.carrier.reply(CALLER, SERVICE, ack, self.now)
+            taken = agent.carrier.handle_reply(CALLER, SERVICE, ack, self.now)
             agent.carry_out(taken, self.now)
 
     def collect(self) -> None:
--- a/properties/test_upstream.py
+++ b/properties/test_upstream.py
@@ -95,7 +95,7 @@
             flying for flying in self.in_flight if not flying.to_server
         ]
         if refused:
-            self.carry_out(self.upstream.refused(self.now))
+            self.carry_out(self.upstream.handle_unreachable(self.now))
 
     @rule()
     def restart_in_the_middle(self) -> None:
--- a/redwingstream/agent/ack_relay.py
+++ b/redwingstream/agent/ack_relay.py
@@ -38,7 +38,9 @@
         carriers of the caller's flows; any other agent passes it to the home.
         """
         parts = self._parts
-        effects = parts.feeds.reply(packet.caller, packet.service, message, now)
+        effects = parts.feeds.handle_reply(
+            packet.caller, packet.service, message, now
+        )
         self._feeds.perform(effects, now)
         forwarded = attrs.evolve(packet, hops=packet.hops + 1)
         home = parts.home_of(bucket)
@@ -59,7 +61,7 @@
 
     def _pass_to_carriers(self, packet: Packet) -> None:
         flows = self._parts.store.flows
-        carriers = flows.carriers(packet.caller, packet.service)
+        carriers = flows.feed_carriers(packet.caller, packet.service)
         for carrier in carriers - {self._parts.identity.carrier}:
             endpoint = self._parts.endpoint_of_carrier(carrier)
             if endpoint is not None:
--- a/redwingstream/agent/core.py
+++ b/redwingstream/agent/core.py
@@ -120,7 +120,7 @@
 
     def handle_server_unreachable(self, now: float) -> None:
         """Handle the ICMP error that no socket listens at the server's port."""
-        effects = self.parts.upstream.refused(now)
+        effects = self.parts.upstream.handle_unreachable(now)
         self._components.server.perform(effects, now)
 
     def tick(self, now: float) -> None:
@@ -194,7 +194,7 @@
             case TakeFeed():
                 components.feeds.handle_take_feed(message, now)
             case FeedMoved():
-                effects = self.parts.feeds.moved(message)
+                effects = self.parts.feeds.handle_moved(message)
                 components.feeds.perform(effects, now)
 
     def _end_requests(self, now: float) -> None:
--- a/redwingstream/agent/feed_checks.py
+++ b/redwingstream/agent/feed_checks.py
@@ -58,7 +58,7 @@
         self._check_at = now + CHECK_INTERVAL
         former_dues = self._due_by_record
         self._due_by_record = {}
-        for record in self._parts.store.flows.feeds():
+        for record in self._parts.store.flows.feed_records():
             key = record.key
             if self._moves.is_home(key) and not self._moves.is_moving(key):
                 due = former_dues.get(record, now + FIRST_CONFIRM_TIMEOUT)
@@ -82,7 +82,7 @@
 
     def _compare(self, record: FlowRecord, source: str, now: float) -> None:
         key = record.key
-        known = self._parts.store.flows.carrier_of(
+        known = self._parts.store.flows.record_for(
             key.caller, key.service, key.token, now
         )
         if known == record:
@@ -152,7 +152,7 @@
         if endpoint is not None:
             moved = FeedMoved(record.key, record.generation + 1)
             self._parts.out.to_peer(endpoint, moved)
-        self._parts.feeds.take(record, 0, now)
+        self._parts.feeds.take_over(record, 0, now)
         effects = self._parts.feeds.give_up(
             record.key, ResultCode.ZONE_OUT, now
         )
--- a/redwingstream/agent/feed_moves.py
+++ b/redwingstream/agent/feed_moves.py
@@ -91,7 +91,7 @@
         key = message.record.key
         if not self.is_home(key) or self.is_moving(key):
             return
-        known = self._parts.store.flows.carrier_of(
+        known = self._parts.store.flows.record_for(
             key.caller, key.service, key.token, now
         )
         if known is not None and known.generation > message.record.generation:
--- a/redwingstream/agent/feed_openings.py
+++ b/redwingstream/agent/feed_openings.py
@@ -5,7 +5,7 @@
 from redwingstream.admission.concurrency_limit import RunResult
 from redwingstream.agent.effects import PerformServerEffects
 from redwingstream.agent.parts import AgentParts
-from redwingstream.flows.effects import FeedSource, OpenFeed
+from redwingstream.flows.effects import RegistrationId, OpenFeed
 from redwingstream.wire import coap
 
 UNSERVED_FEED_TIMEOUT = 2.0
@@ -29,8 +29,8 @@
     ) -> None:
         self._parts = parts
         self._perform = perform
-        self._opening_at: dict[FeedSource, float] = {}
-        self._open: set[FeedSource] = set()
+        self._opening_at: dict[RegistrationId, float] = {}
+        self._open: set[RegistrationId] = set()
 
     def open_waiting(self, now: float) -> None:
         """Register waiting feeds, as many as admission allows."""
@@ -46,7 +46,7 @@
                 return
             self._open_one(opens[0], now)
 
-    def handle_notification(self, source: FeedSource, now: float) -> bool:
+    def handle_notification(self, source: RegistrationId, now: float) -> bool:
         """Handle a notification; return True if it is the feed's first."""
         started_at = self._opening_at.pop(source, None)
         if started_at is None:
@@ -57,7 +57,7 @@
         return True
 
     def handle_end(
-        self, source: FeedSource, response: Message | None, now: float
+        self, source: RegistrationId, response: Message | None, now: float
     ) -> None:
         """Handle that the server has ended a feed.
 
@@ -85,7 +85,7 @@
             )
         self._release(source, run_result, now)
 
-    def close(self, source: FeedSource, now: float) -> None:
+    def close(self, source: RegistrationId, now: float) -> None:
         """Deregister a feed at the server."""
         self._release(source, RunResult.CANCELLED, now)
         self._perform(self._parts.upstream.close_feed(source, now), now)
@@ -110,7 +110,7 @@
         self._perform(effects, now)
 
     def _release(
-        self, source: FeedSource, run_result: RunResult, now: float
+        self, source: RegistrationId, run_result: RunResult, now: float
     ) -> None:
         started_at = self._opening_at.pop(source, None)
         if started_at is not None:
--- a/redwingstream/agent/feeds.py
+++ b/redwingstream/agent/feeds.py
@@ -19,7 +19,7 @@
     CloseFeed,
     FeedClosed,
     FeedEffect,
-    FeedSource,
+    RegistrationId,
     GenerationWanted,
     SendToCaller,
 )
@@ -93,7 +93,7 @@
         parts = self._parts
         if parts.is_leaving or parts.is_zone_out() or parts.server_is_silent:
             return False
-        waiting = parts.feeds.waiting()
+        waiting = parts.feeds.unregistered_count()
         if (
             waiting >= MAX_WAITING_FEEDS
             or waiting >= parts.feed_limit.remaining_feeds()
@@ -133,7 +133,7 @@
             self._former_by_key[record.key] = _FormerCarrier(
                 message.former, record.generation, now + FORMER_CARRIER_TIMEOUT
             )
-        effects = self._parts.feeds.take(record, message.observe, now)
+        effects = self._parts.feeds.take_over(record, message.observe, now)
         self.perform(effects, now)
         self.openings.open_waiting(now)
 
@@ -141,11 +141,14 @@
         self, source: object, notification: Message, now: float
     ) -> None:
         """Forward a notification of the server to the caller."""
-        if not isinstance(source, FeedSource):
+        if not isinstance(source, RegistrationId):
             return
         self.openings.handle_notification(source, now)
         self._parts.server_is_silent = False
-        self.perform(self._parts.feeds.update(source, notification, now), now)
+        self.perform(
+            self._parts.feeds.handle_notification(source, notification, now),
+            now,
+        )
         self._release_former(source.key)
 
     def handle_end(
@@ -156,10 +159,10 @@
         now: float,
     ) -> None:
         """Handle the end of a feed at the server."""
-        if not isinstance(source, FeedSource):
+        if not isinstance(source, RegistrationId):
             return
         self.openings.handle_end(source, response, now)
-        effects = self._parts.feeds.ended(source, reason, response, now)
+        effects = self._parts.feeds.handle_ended(source, reason, response, now)
         self.perform(effects, now)
 
     def perform(self, effects: list[FeedEffect], now: float) -> None:
@@ -199,7 +202,7 @@
         """Stop carrying every feed; other agents continue them."""
         for record in self._parts.feeds.records():
             moved = FeedMoved(record.key, record.generation + 1)
-            self.perform(self._parts.feeds.moved(moved), now)
+            self.perform(self._parts.feeds.handle_moved(moved), now)
 
     def schedule_moves(self) -> None:
         """Request moves at the next :meth:`tick`, as this agent is leaving."""
@@ -208,7 +211,7 @@
     def _request_due_moves(self, now: float) -> None:
         """Ask the homes to move feeds without a server, or all when leaving."""
         feeds = self._parts.feeds
-        keys = feeds.without_server(now, UNSERVED_FEED_TIMEOUT)
+        keys = feeds.claim_stuck_feeds(now, UNSERVED_FEED_TIMEOUT)
         if self._parts.is_leaving:
             keys = list(feeds.keys())
         for key in keys:
--- a/redwingstream/agent/flow_placement.py
+++ b/redwingstream/agent/flow_placement.py
@@ -182,7 +182,7 @@
     def _find_record(
         self, packet: Packet, token: bytes, now: float
     ) -> FlowRecord | None:
-        return self._parts.store.flows.carrier_of(
+        return self._parts.store.flows.record_for(
             packet.caller, packet.service, token, now
         )
 
--- a/redwingstream/agent/incoming_assignments.py
+++ b/redwingstream/agent/incoming_assignments.py
@@ -64,7 +64,7 @@
 
     def handle_assignment(self, assigned: Assigned, now: float) -> None:
         """Handle an assignment or its repetition."""
-        self._parts.paths.heard(assigned.packet.balancer, now)
+        self._parts.paths.record_heard(assigned.packet.balancer, now)
         if assigned.carrier_incarnation != self._parts.identity.incarnation:
             # The former run of this agent may have run the request; to run
             # it here could run it twice.
--- a/redwingstream/agent/packet_dispatcher.py
+++ b/redwingstream/agent/packet_dispatcher.py
@@ -89,7 +89,7 @@
             revision = self._parts.tables.revision
             self._parts.out.to_peer(packet.balancer, ProbeAck(revision))
             return
-        self._parts.paths.heard(packet.balancer, now)
+        self._parts.paths.record_heard(packet.balancer, now)
         try:
             request = coap.decode(packet.payload)
         except WireError:
--- a/redwingstream/agent/request_executor.py
+++ b/redwingstream/agent/request_executor.py
@@ -158,7 +158,7 @@
             return
         self._finish(started, RunResult.COMPLETED, now)
         flow = FlowKey(run.packet.caller, run.packet.service)
-        self._parts.store.transfers.note(
+        self._parts.store.transfers.record_response(
             run.bucket, flow, run.request, response, now
         )
         self._on_end(RunEnd(run, RequestState.ANSWERED, answer), now)
--- a/redwingstream/agent/server_effects.py
+++ b/redwingstream/agent/server_effects.py
@@ -89,4 +89,6 @@
             return
         self._parts.metrics.count('server_link_replaced')
         self._parts.out.replace_source(source)
-        self.perform(self._parts.upstream.replaced(source, now), now)
+        self.perform(
+            self._parts.upstream.handle_socket_replaced(source, now), now
+        )
--- a/redwingstream/agent/store.py
+++ b/redwingstream/agent/store.py
@@ -1,6 +1,6 @@
 """Ledger, flows and transfers of an agent, stored by bucket."""
 
-from redwingstream.flows.blocks import Transfers
+from redwingstream.flows.blocks import BlockTransfers
 from redwingstream.flows.table import FlowTable
 from redwingstream.placement.messages import BucketContents
 from redwingstream.requests.ledger import Ledger
@@ -47,7 +47,7 @@
         self.now = float()
         self.ledger = Ledger(LEDGER_CAPACITY, replay_horizon)
         self.flows = FlowTable(FLOW_CAPACITY, PLACEMENT_IDLE_TIMEOUT)
-        self.transfers = Transfers(carrier, TRANSFER_CAPACITY)
+        self.transfers = BlockTransfers(carrier, TRANSFER_CAPACITY)
         self._horizon = replay_horizon
         self._withheld_at: dict[Identity, float] = {}
 
@@ -82,14 +82,14 @@
     def drop(self, bucket: int) -> None:
         """Drop the contents of a bucket."""
         self.ledger.drop(bucket)
-        self.flows.drop(bucket)
+        self.flows.drop_bucket(bucket)
 
     def evict_expired(self, now: float) -> None:
         """Evict expired entries; release requests withheld for too long."""
         self.now = now
         self.ledger.evict_expired(now)
-        self.flows.expire(now)
-        self.transfers.expire(now)
+        self.flows.evict_expired(now)
+        self.transfers.evict_expired(now)
         while self._withheld_at:
             oldest = next(iter(self._withheld_at))
             if now - self._withheld_at[oldest] < self._horizon:
--- a/redwingstream/agent/tests/test_feeds.py
+++ b/redwingstream/agent/tests/test_feeds.py
@@ -311,7 +311,7 @@
 
 def _carrier_of_flow(pool: FakePool, caller: FakeCaller, home: str) -> str:
     flows = pool.agent(home).core.parts.store.flows
-    record = flows.carrier_of(
+    record = flows.record_for(
         caller.address, pool.service, b'', pool.exchange.now
     )
     return record.carrier
--- a/redwingstream/flows/blocks.py
+++ b/redwingstream/flows/blocks.py
@@ -45,7 +45,7 @@
     last_block: float
 
 
-class Transfers:
+class BlockTransfers:
     """Flows of which this agent's server is sending an answer in blocks.
 
     Parameters
@@ -74,7 +74,7 @@
         """Return how many transfers are under way."""
         return len(self._transfer_by_name)
 
-    def note(
+    def record_response(
         self,
         bucket: int,
         key: FlowKey,
@@ -102,7 +102,7 @@
         }
         return tuple(FlowRecord(flow, self._host) for flow in flows)
 
-    def expire(self, now: float) -> None:
+    def evict_expired(self, now: float) -> None:
         """Forget transfers that callers have given up."""
         while self._transfer_by_name:
             oldest = next(iter(self._transfer_by_name.values()))
--- a/redwingstream/flows/carried.py
+++ b/redwingstream/flows/carried.py
@@ -11,7 +11,7 @@
     CloseFeed,
     FeedClosed,
     FeedEffect,
-    FeedSource,
+    RegistrationId,
 )
 from redwingstream.flows.feed_state import Delivery, Feed, FeedLimits
 from redwingstream.flows.notifications import Notifications
@@ -73,7 +73,7 @@
         feed = self._feed_by_key.get(key)
         return None if feed is None or feed.closing else feed
 
-    def find_source(self, source: FeedSource) -> Feed | None:
+    def find_source(self, source: RegistrationId) -> Feed | None:
         """Return the feed whose present registration this is."""
         feed = self._feed_by_key.get(source.key)
         return None if feed is None or feed.source != source else feed
--- a/redwingstream/flows/effects.py
+++ b/redwingstream/flows/effects.py
@@ -141,7 +141,7 @@
 
 
 @attrs.frozen
-class FeedSource:
+class RegistrationId:
     """Owner of a feed at the server: one registration of it.
 
     Parameters
@@ -168,7 +168,7 @@
 class OpenFeed:
     """Register a feed at the server."""
 
-    source: FeedSource
+    source: RegistrationId
     request: Message
 
 
@@ -176,7 +176,7 @@
 class CloseFeed:
     """Deregister a feed at the server."""
 
-    source: FeedSource
+    source: RegistrationId
 
 
 @attrs.frozen
--- a/redwingstream/flows/feed_state.py
+++ b/redwingstream/flows/feed_state.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from redwingstream.flows.effects import FeedSource
+from redwingstream.flows.effects import RegistrationId
 from redwingstream.flows.observe import sequence_number
 from redwingstream.flows.records import FlowKey, FlowRecord
 
@@ -107,7 +107,7 @@
 
     record: FlowRecord
     delivery: Delivery
-    source: FeedSource | None = None
+    source: RegistrationId | None = None
     waiting_since: float = 0
     asked_at: float | None = None
     failures: int = 0
--- a/redwingstream/flows/feeds.py
+++ b/redwingstream/flows/feeds.py
@@ -7,7 +7,7 @@
     CloseFeed,
     FeedClosed,
     FeedEffect,
-    FeedSource,
+    RegistrationId,
     GenerationWanted,
     OpenFeed,
     SendToCaller,
@@ -77,7 +77,7 @@
             self._feeds.adopt(feed, record)
         return effects + self._notifications.send_again(feed, now)
 
-    def take(
+    def take_over(
         self, record: FlowRecord, observe: int, now: float
     ) -> list[FeedEffect]:
         """Take over an established feed, or its new generation.
@@ -108,7 +108,7 @@
             return [GenerationWanted(feed.record)]
         return self._notifications.send_held(feed, now)
 
-    def moved(self, message: FeedMoved) -> list[FeedEffect]:
+    def handle_moved(self, message: FeedMoved) -> list[FeedEffect]:
         """Let go of a feed that its home has placed elsewhere."""
         feed = self._feeds.find(message.key)
         if feed is None or message.generation <= feed.record.generation:
@@ -123,7 +123,7 @@
             return []
         return self._feeds.close(feed, ResultCode.OK)
 
-    def reply(
+    def handle_reply(
         self, caller: str, service: str, message: Message, now: float
     ) -> list[FeedEffect]:
         """Take the ACK or RST of a caller; one of another carrier is none."""
@@ -140,8 +140,8 @@
         self.counters.rejected += 1
         return self._feeds.close(feed, ResultCode.OK)
 
-    def update(
-        self, source: FeedSource, notification: Message, now: float
+    def handle_notification(
+        self, source: RegistrationId, notification: Message, now: float
     ) -> list[FeedEffect]:
         """Pass a notification of the server on to the caller."""
         feed = self._feeds.find_source(source)
@@ -154,9 +154,9 @@
         feed.established = True
         return self._notifications.send(feed, notification, now)
 
-    def ended(
+    def handle_ended(
         self,
-        source: FeedSource,
+        source: RegistrationId,
         why: ResultCode,
         response: Message | None,
         now: float,
@@ -196,11 +196,13 @@
         """
         return self._registrations.take_due(now, room)
 
-    def waiting(self) -> int:
+    def unregistered_count(self) -> int:
         """Return how many feeds are not registered at the server."""
         return len(self._registrations)
 
-    def without_server(self, now: float, longer_than: float) -> list[FlowKey]:
+    def claim_stuck_feeds(
+        self, now: float, longer_than: float
+    ) -> list[FlowKey]:
         """Return the feeds not registered at the server for some time.
 
         Notes
--- a/redwingstream/flows/paths.py
+++ b/redwingstream/flows/paths.py
@@ -39,7 +39,7 @@
         """Return how many balancers are known."""
         return len(self._path_by_balancer)
 
-    def heard(self, balancer: str, now: float) -> None:
+    def record_heard(self, balancer: str, now: float) -> None:
         """Note a packet from a balancer (``IP:PORT``)."""
         path = self._path_by_balancer.pop(balancer, None) or _Path(now)
         path.last_heard = now
--- a/redwingstream/flows/registrations.py
+++ b/redwingstream/flows/registrations.py
@@ -4,7 +4,7 @@
 import random
 from collections.abc import Iterable
 
-from redwingstream.flows.effects import FeedSource, OpenFeed
+from redwingstream.flows.effects import RegistrationId, OpenFeed
 from redwingstream.flows.feed_state import Feed, FeedLimits
 from redwingstream.flows.records import FlowKey
 from redwingstream.flows.timers import Timers
@@ -86,5 +86,5 @@
 
     def _open(self, feed: Feed) -> OpenFeed:
         generation = feed.record.generation
-        feed.source = FeedSource(feed.key, generation, next(self._attempts))
+        feed.source = RegistrationId(feed.key, generation, next(self._attempts))
         return OpenFeed(feed.source, coap.decode(feed.record.registration))
--- a/redwingstream/flows/table.py
+++ b/redwingstream/flows/table.py
@@ -100,7 +100,7 @@
             return True
         return len(self._entry_by_key) < self._capacity
 
-    def carrier_of(
+    def record_for(
         self, caller: str, service: str, token: bytes, now: float
     ) -> FlowRecord | None:
         """Return the record of the feed, else of the flow, if there is one."""
@@ -114,7 +114,7 @@
             self._plain_by_key.move_to_end(entry.record.key)
         return entry.record
 
-    def carriers(self, caller: str, service: str) -> frozenset[str]:
+    def feed_carriers(self, caller: str, service: str) -> frozenset[str]:
         """Return who carries feeds of a flow.
 
         An ACK or RST of the caller names no token; it goes to all of these.
@@ -144,7 +144,7 @@
         """Put each of the records; return how many changed the table."""
         return sum(self.put(bucket, record, now) for record in records)
 
-    def drop(self, bucket: int) -> None:
+    def drop_bucket(self, bucket: int) -> None:
         """Forget a bucket that now has another home and heir."""
         for key in tuple(self._keys_by_bucket.get(bucket, ())):
             self._forget(key)
@@ -158,7 +158,7 @@
             if entry.record.carrier == host
         )
 
-    def feeds(self) -> tuple[FlowRecord, ...]:
+    def feed_records(self) -> tuple[FlowRecord, ...]:
         """Return the records of all open feeds."""
         return tuple(
             entry.record
@@ -166,7 +166,7 @@
             if entry.record.registration
         )
 
-    def expire(self, now: float) -> None:
+    def evict_expired(self, now: float) -> None:
         """Forget idle plain placements and old tombstones."""
         self._tombstones.expire(now)
         while self._plain_by_key:
--- a/redwingstream/flows/tests/fakes.py
+++ b/redwingstream/flows/tests/fakes.py
@@ -198,9 +198,13 @@
             case effects.CloseFeed(source):
                 self.carry_out(upstream.close_feed(source, now), now)
             case effects.FeedUpdate(owner, update):
-                self.carry_out(carrier.update(owner, update, now), now)
+                self.carry_out(
+                    carrier.handle_notification(owner, update, now), now
+                )
             case effects.FeedEnded(owner, why, final):
-                self.carry_out(carrier.ended(owner, why, final, now), now)
+                self.carry_out(
+                    carrier.handle_ended(owner, why, final, now), now
+                )
             case effects.FeedClosed() | effects.GenerationWanted():
                 self.to_home.append(effect)
             case effects.Responded() | effects.Failed():
--- a/redwingstream/flows/tests/test_blocks.py
+++ b/redwingstream/flows/tests/test_blocks.py
@@ -4,7 +4,7 @@
 
 from redwingstream.flows.blocks import (
     TRANSFER_TIMEOUT,
-    Transfers,
+    BlockTransfers,
     is_later_block,
 )
 from redwingstream.flows.records import FlowKey, FlowRecord
@@ -38,23 +38,31 @@
         The first blocks came from the home's own server; then the bucket gets
         another home, whose server has another representation.
         """
-        transfers = Transfers('a', 10)
+        transfers = BlockTransfers('a', 10)
         for report in ('spring', 'autumn'):
-            transfers.note(BUCKET, KEY, ask(report), block(0, True), 1)
-        transfers.note(BUCKET, KEY, ask('spring'), block(1, False), 2)
+            transfers.record_response(
+                BUCKET, KEY, ask(report), block(0, True), 1
+            )
+        transfers.record_response(
+            BUCKET, KEY, ask('spring'), block(1, False), 2
+        )
         assert transfers.placements(BUCKET, 3) == (PLACEMENT,)
         assert transfers.placements(BUCKET + 1, 3) == ()
-        transfers.note(BUCKET, KEY, ask('autumn'), block(1, False), 4)
+        transfers.record_response(
+            BUCKET, KEY, ask('autumn'), block(1, False), 4
+        )
         assert len(transfers) == 0
 
     def test_bounds_what_it_keeps(self) -> None:
-        transfers = Transfers('a', 2)
+        transfers = BlockTransfers('a', 2)
         for number in range(3):
             asked = ask(str(number))
-            transfers.note(BUCKET, KEY, asked, block(0, True), number)
+            transfers.record_response(
+                BUCKET, KEY, asked, block(0, True), number
+            )
         assert len(transfers) == 2
         assert transfers.placements(BUCKET, TRANSFER_TIMEOUT + 3) == ()
-        transfers.expire(TRANSFER_TIMEOUT + 1)
+        transfers.evict_expired(TRANSFER_TIMEOUT + 1)
         assert len(transfers) == 1
 
     def test_knows_later_blocks(self) -> None:
--- a/redwingstream/flows/tests/test_feeds.py
+++ b/redwingstream/flows/tests/test_feeds.py
@@ -34,13 +34,13 @@
     """Build a carrier that has heard from three balancers."""
     paths = ReturnPaths()
     for now, balancer in enumerate(BALANCERS):
-        paths.heard(balancer, now)
+        paths.record_heard(balancer, now)
     return FeedCarrier(host, 'sward-live', paths, random.Random(2), limits)
 
 
 def make_feed(
     carrier: FeedCarrier, key: FlowKey = KEY, generation: int = 0
-) -> effects.FeedSource:
+) -> effects.RegistrationId:
     """Register a feed and let its server take it."""
     asked = request(observe=coap.OBSERVE_REGISTER, token=key.token)
     carrier.register(record('a', generation, key), asked, 'b1', 0)
@@ -56,12 +56,12 @@
 
 def notify(
     carrier: FeedCarrier,
-    source: effects.FeedSource,
+    source: effects.RegistrationId,
     reading: int,
     now: float = 0,
 ) -> Message:
     """Pass a notification on; return what the caller gets."""
-    found = carrier.update(source, update(reading), now)
+    found = carrier.handle_notification(source, update(reading), now)
     return coap.decode(found[0].payload)
 
 
@@ -73,7 +73,7 @@
 ) -> list:
     """Let the caller answer a notification."""
     empty = coap.empty(mtype, notification.mid)
-    return carrier.reply(CALLER, SERVICE, empty, now)
+    return carrier.handle_reply(CALLER, SERVICE, empty, now)
 
 
 class TestNotifications:
@@ -98,14 +98,14 @@
         """
         paths = ReturnPaths()
         for balancer in BALANCERS:
-            paths.heard(balancer, 0)
+            paths.record_heard(balancer, 0)
             for _ in range(9):
                 # Losses of other callers' notifications.
                 paths.unanswered(balancer)
         paths.answered('b3')
         carrier = FeedCarrier('a', 'sward-live', paths, random.Random(2))
         source = make_feed(carrier)
-        sent = carrier.update(source, update(17), 0)
+        sent = carrier.handle_notification(source, update(17), 0)
         for _ in BALANCERS[1:]:
             sent.extend(carrier.poll(carrier.next_due()))
         assert {given.balancer for given in sent} == set(BALANCERS)
@@ -117,8 +117,8 @@
         carrier = make_carrier()
         source = make_feed(carrier)
         first = notify(carrier, source, 1)
-        assert carrier.update(source, update(2), 0) == []
-        assert carrier.update(source, update(3), 0) == []
+        assert carrier.handle_notification(source, update(2), 0) == []
+        assert carrier.handle_notification(source, update(3), 0) == []
         repeated = coap.decode(carrier.poll(1)[0].payload)
         assert repeated.payload == b'3'
         assert repeated.mid != first.mid
@@ -131,7 +131,7 @@
         carrier = make_carrier()
         source = make_feed(carrier)
         first = notify(carrier, source, 1)
-        carrier.update(source, update(2), 0)
+        carrier.handle_notification(source, update(2), 0)
         held = reply(carrier, first)[0]
         assert coap.decode(held.payload).payload == b'2'
 
@@ -167,10 +167,10 @@
         paths = ReturnPaths()
         carrier = FeedCarrier('a', 'sward-live', paths, random.Random(1))
         source = make_feed(carrier)
-        assert carrier.update(source, update(1), 0) == []
+        assert carrier.handle_notification(source, update(1), 0) == []
         for now in range(100):
             assert carrier.poll(now) == []
-        paths.heard('b1', 100)
+        paths.record_heard('b1', 100)
         assert carrier.poll(100)
 
     def test_asks_for_a_generation_before_numbers_run_out(self) -> None:
@@ -186,8 +186,8 @@
         last = notify(carrier, source, 1)
         wanted = effects.GenerationWanted(record('a'))
         reply(carrier, last)
-        assert carrier.update(source, update(2), 0) == [wanted]
-        taken = carrier.take(record('a', 1), last.opt.observe, 1)
+        assert carrier.handle_notification(source, update(2), 0) == [wanted]
+        taken = carrier.take_over(record('a', 1), last.opt.observe, 1)
         following = coap.decode(taken[0].payload)
         assert following.payload == b'2'
         assert is_newer(following.opt.observe, last.opt.observe)
@@ -232,7 +232,7 @@
     def test_first_registration_that_fails_is_answered_at_once(self) -> None:
         carrier = make_carrier()
         source = make_feed(carrier)
-        found = carrier.ended(source, ResultCode.NO_SERVER, None, 1)
+        found = carrier.handle_ended(source, ResultCode.NO_SERVER, None, 1)
         final = coap.decode(found[0].payload)
         assert final.code is coap.SERVICE_UNAVAILABLE
         assert final.opt.observe is None
@@ -251,7 +251,7 @@
         first = notify(carrier, source, 1)
         reply(carrier, first)
         gone = Message(code=coap.aiocoap.NOT_FOUND)
-        carrier.ended(source, ResultCode.OK, gone, 0)
+        carrier.handle_ended(source, ResultCode.OK, gone, 0)
         again = make_feed(carrier)
         assert again != source
         state = notify(carrier, again, 2)
@@ -274,13 +274,15 @@
         move = former.handover(KEY)
         late = notify(former, source, 2)
         moved = record('b', 1)
-        assert latter.take(moved, move.observe, 1) == []
+        assert latter.take_over(moved, move.observe, 1) == []
         opened = latter.next_registrations(1, 1)[0]
         assert opened.request.token == TOKEN
         fresh = notify(latter, opened.source, 2)
         assert is_newer(fresh.opt.observe, late.opt.observe)
-        assert former.moved(FeedMoved(KEY, 0)) == []
-        assert former.moved(FeedMoved(KEY, 1)) == [effects.CloseFeed(source)]
+        assert former.handle_moved(FeedMoved(KEY, 0)) == []
+        assert former.handle_moved(FeedMoved(KEY, 1)) == [
+            effects.CloseFeed(source)
+        ]
         assert len(former) == 0
         assert former.next_due() is None
 
@@ -292,23 +294,23 @@
         """
         carrier = make_carrier()
         earlier = make_feed(carrier)
-        carrier.moved(FeedMoved(KEY, 1))
-        carrier.take(record('a', 2), COUNTER_LIMIT, 1)
+        carrier.handle_moved(FeedMoved(KEY, 1))
+        carrier.take_over(record('a', 2), COUNTER_LIMIT, 1)
         carrier.next_registrations(1, 1)
-        stale = carrier.update(earlier, update(1), 2)
+        stale = carrier.handle_notification(earlier, update(1), 2)
         assert stale == [effects.CloseFeed(earlier)]
         assert carrier.counters.late == 1
 
     def test_takes_no_placement_for_a_feed(self) -> None:
         carrier = make_carrier()
         placement = attrs.evolve(record('a', 1), registration=b'')
-        assert not carrier.take(placement, 0, 1)
+        assert not carrier.take_over(placement, 0, 1)
         assert not carrier.next_registrations(1, 1)
         assert carrier.counters.refused == 1
 
     def test_asks_for_a_generation_that_looks_newer(self) -> None:
         carrier = make_carrier()
-        found = carrier.take(record('a', 1), 3 * COUNTER_LIMIT, 1)
+        found = carrier.take_over(record('a', 1), 3 * COUNTER_LIMIT, 1)
         assert found == [effects.GenerationWanted(record('a', 1))]
 
     def test_restarted_carrier_uses_other_message_ids(self) -> None:
@@ -351,11 +353,11 @@
             key = attrs.evolve(KEY, token=bytes([number]))
             source = make_feed(carrier, key)
             notify(carrier, source, 1)
-            carrier.ended(source, ResultCode.NO_SERVER, None, 1)
+            carrier.handle_ended(source, ResultCode.NO_SERVER, None, 1)
         assert carrier.next_registrations(9, 0) == []
-        assert len(carrier.without_server(9, 5)) == 10
-        assert not carrier.without_server(9.5, 5)
-        assert len(carrier.without_server(10, 5)) == 10
+        assert len(carrier.claim_stuck_feeds(9, 5)) == 10
+        assert not carrier.claim_stuck_feeds(9.5, 5)
+        assert len(carrier.claim_stuck_feeds(10, 5)) == 10
         rounds = [carrier.next_registrations(9, 4) for _ in range(4)]
         assert [len(opened) for opened in rounds] == [4, 4, 2, 0]
         assert len({one.source for some in rounds for one in some}) == 10
@@ -366,7 +368,7 @@
         notify(carrier, source, 1)
         refusal = Message(code=coap.SERVICE_UNAVAILABLE)
         refusal.opt.max_age = 7
-        assert carrier.ended(source, ResultCode.OK, refusal, 0) == []
+        assert carrier.handle_ended(source, ResultCode.OK, refusal, 0) == []
         assert carrier.next_registrations(6, 1) == []
         assert carrier.next_registrations(8, 1)[0].source.attempt == 2
 
@@ -375,7 +377,7 @@
         source = make_feed(carrier)
         reply(carrier, notify(carrier, source, 1))
         gone = Message(code=coap.aiocoap.NOT_FOUND)
-        found = carrier.ended(source, ResultCode.OK, gone, 0)
+        found = carrier.handle_ended(source, ResultCode.OK, gone, 0)
         final = coap.decode(found[0].payload)
         assert final.code is coap.aiocoap.NOT_FOUND
         assert (final.token, final.mtype) == (TOKEN, coap.CON)
--- a/redwingstream/flows/tests/test_paths.py
+++ b/redwingstream/flows/tests/test_paths.py
@@ -7,7 +7,7 @@
     """Build the paths of balancers heard one after the other."""
     paths = ReturnPaths(capacity=3, lifetime=30)
     for now, balancer in enumerate(balancers):
-        paths.heard(balancer, now)
+        paths.record_heard(balancer, now)
     return paths
 
 
@@ -29,7 +29,7 @@
         """
         paths = make_paths('a', 'b')
         paths.unanswered('b')
-        paths.heard('b', 5)
+        paths.record_heard('b', 5)
         assert paths.pick() == 'a'
         paths.answered('b')
         assert paths.pick() == 'b'
@@ -37,7 +37,7 @@
     def test_keeps_few_and_forgets_old_ones(self) -> None:
         assert len(make_paths('a', 'b', 'c', 'd')) == 3
         paths = make_paths('a', 'b')
-        paths.heard('b', 60)
+        paths.record_heard('b', 60)
         assert paths.pick(['b']) == 'b'
 
     def test_members_replace_all_others(self) -> None:
--- a/redwingstream/flows/tests/test_table.py
+++ b/redwingstream/flows/tests/test_table.py
@@ -38,11 +38,11 @@
 
     def test_finds_the_feed_first_and_the_flow_else(self) -> None:
         table = make_table(record('a'), FlowRecord(PLAIN, 'b'))
-        assert table.carrier_of(CALLER, SERVICE, TOKEN, 1).carrier == 'a'
-        assert table.carrier_of(CALLER, SERVICE, b'other', 1).carrier == 'b'
-        assert table.carrier_of('x', SERVICE, TOKEN, 1) is None
+        assert table.record_for(CALLER, SERVICE, TOKEN, 1).carrier == 'a'
+        assert table.record_for(CALLER, SERVICE, b'other', 1).carrier == 'b'
+        assert table.record_for('x', SERVICE, TOKEN, 1) is None
         assert table.find(FlowKey(CALLER, SERVICE, b'other')) is None
-        assert table.carriers(CALLER, SERVICE) == {'a'}
+        assert table.feed_carriers(CALLER, SERVICE) == {'a'}
         assert table.carried_by('b') == (FlowRecord(PLAIN, 'b'),)
 
     def test_merges_to_the_same_in_any_order(self) -> None:
@@ -71,7 +71,7 @@
         """
         table = make_table(record('a'), FlowRecord(KEY, 'a', closed=True))
         assert not table.put(BUCKET, record('a'), 1)
-        assert table.carrier_of(CALLER, SERVICE, TOKEN, 1) is None
+        assert table.record_for(CALLER, SERVICE, TOKEN, 1) is None
         assert table.next_generation(KEY) == 1
         heir = FlowTable(100, IDLE)
         heir.merge(BUCKET, table.export(BUCKET), 1)
@@ -80,15 +80,15 @@
 
     def test_forgets_ended_feeds_after_their_time(self) -> None:
         table = make_table(FlowRecord(KEY, 'a', closed=True))
-        table.expire(TOMBSTONE_LIFETIME - 1)
+        table.evict_expired(TOMBSTONE_LIFETIME - 1)
         assert table.export(BUCKET)
-        table.expire(TOMBSTONE_LIFETIME)
+        table.evict_expired(TOMBSTONE_LIFETIME)
         assert not table.export(BUCKET)
 
     def test_forgets_idle_placements_only(self) -> None:
         table = make_table(record('a'), placement(1), placement(2))
-        table.carrier_of(placement(1).key.caller, SERVICE, b'', IDLE / 2)
-        table.expire(IDLE)
+        table.record_for(placement(1).key.caller, SERVICE, b'', IDLE / 2)
+        table.evict_expired(IDLE)
         assert set(table.export(BUCKET)) == {record('a'), placement(1)}
         assert table.counters.expired == 1
 
@@ -100,7 +100,7 @@
         never opened without a record.
         """
         table = make_table(record('a'), placement(1), placement(2), capacity=3)
-        table.carrier_of(placement(1).key.caller, SERVICE, b'', 1)
+        table.record_for(placement(1).key.caller, SERVICE, b'', 1)
         assert table.put(BUCKET, placement(3), 2)
         assert placement(2) not in table.export(BUCKET)
         for number in range(2):
@@ -136,13 +136,13 @@
         feed = FlowRecord(PLAIN, 'a', 0, REGISTRATION)
         table = make_table(feed)
         assert not table.put(BUCKET, FlowRecord(PLAIN, 'b', 5), 1)
-        assert table.carrier_of(CALLER, SERVICE, b'', 1) == feed
+        assert table.record_for(CALLER, SERVICE, b'', 1) == feed
 
     def test_drops_a_bucket_whole(self) -> None:
         table = make_table(record('a'), FlowRecord(PLAIN, 'b', closed=True))
         other = placement(1)
         table.put(BUCKET + 1, other, 0)
-        table.drop(BUCKET)
+        table.drop_bucket(BUCKET)
         assert table.export(BUCKET) == ()
         assert table.export(BUCKET + 1) == (other,)
-        assert not table.carriers(CALLER, SERVICE)
+        assert not table.feed_carriers(CALLER, SERVICE)
--- a/redwingstream/flows/tests/test_upstream.py
+++ b/redwingstream/flows/tests/test_upstream.py
@@ -192,7 +192,7 @@
         self, upstream: Upstream
     ) -> None:
         post(upstream)
-        assert effects.ServerRestarted() in upstream.refused(1)
+        assert effects.ServerRestarted() in upstream.handle_unreachable(1)
         found = poll_until(upstream, 2.5)
         assert of_type(found, effects.Failed)[0].state is RequestState.UNKNOWN
 
@@ -205,7 +205,7 @@
         post(upstream, 'before')
         packet = post(upstream, 'after')
         source = 0
-        found = upstream.refused(1, packet[:4], source)
+        found = upstream.handle_unreachable(1, packet[:4], source)
         assert found[0] == effects.Failed(
             'after', RequestState.NOT_RUN, ResultCode.NO_SERVER
         )
@@ -386,8 +386,8 @@
 
     def test_replaced_link_ends_its_feeds(self, upstream: Upstream) -> None:
         sent = TestFeedsAtServer().open(upstream, 'feed')
-        assert not upstream.replaced(1 - sent.source, 1)
-        ended = upstream.replaced(sent.source, 1)
+        assert not upstream.handle_socket_replaced(1 - sent.source, 1)
+        ended = upstream.handle_socket_replaced(sent.source, 1)
         assert [end.owner for end in ended] == ['feed']
 
 
--- a/redwingstream/flows/upstream.py
+++ b/redwingstream/flows/upstream.py
@@ -98,7 +98,7 @@
         """Take a packet from the server; see :meth:`Receiving.receive`."""
         return self._receiving.receive(packet, now, source)
 
-    def refused(
+    def handle_unreachable(
         self, now: float, packet: bytes = b'', source: int = 0
     ) -> Effects:
         """Take the hint that nobody listens at the server's address.
@@ -132,7 +132,7 @@
         """End every feed: the server has started anew and knows none."""
         return self._sending.restarted(now)
 
-    def replaced(self, source: int, now: float) -> Effects:
+    def handle_socket_replaced(self, source: int, now: float) -> Effects:
         """Note that a silent socket was replaced; its feeds are gone."""
         self._sending.links.replaced(source, self._sending.rng)
         effects: Effects = []
