--- a/asv_bench/control_changes.py
+++ b/asv_bench/control_changes.py
@@ -79,7 +79,7 @@
         started = time.perf_counter()
         decoded = self._receiver.open(frame).payload
         self.tables = self.tables.updated(decoded)
-        self._forwarder.adopt(self.tables)
+        self._forwarder.apply_tables(self.tables)
         return len(frame), time.perf_counter() - started
 
 
--- a/asv_bench/idle.py
+++ b/asv_bench/idle.py
@@ -239,7 +239,7 @@
 
 
 def _is_admitted(agent: AgentRole) -> bool:
-    return agent._node.state().get('admitted', True)
+    return agent._node.describe_state().get('admitted', True)
 
 
 async def measure(
--- a/asv_bench/memory.py
+++ b/asv_bench/memory.py
@@ -108,7 +108,9 @@
     """
     for number in range(size):
         host = f'10.77.{number // 250}.{number % 250 + 1}'
-        way = fabric.Way(Endpoint(host, 4000), Endpoint('10.9.0.1', 5683))
+        way = fabric.AddressPair(
+            Endpoint(host, 4000), Endpoint('10.9.0.1', 5683)
+        )
         met, _ = fabric.unwrap(fabric.wrap_request(way, b''))
         fabric.wrap_answer(str(met.caller), SERVICE, b'')
     return size
@@ -183,7 +185,7 @@
         """Return a balancer that has used every bucket once."""
         tables = self.tables(agents)
         forwarder = Forwarder(Endpoint('10.0.0.1', 7000), KEY)
-        forwarder.adopt(tables)
+        forwarder.apply_tables(tables)
         for view in tables.view_by_pool.values():
             pairs = PairTable.from_view(view)
             forwarder._pairs_by_pool[view.pool] = pairs
--- a/asv_bench/packet_processes.py
+++ b/asv_bench/packet_processes.py
@@ -226,7 +226,7 @@
     The header of one is made by the library and the caller's address is then
     written over, since packing costs more than the balancer takes to read it.
     """
-    way = fabric.Way(Endpoint('127.71.0.0', 4000), SERVICE)
+    way = fabric.AddressPair(Endpoint('127.71.0.0', 4000), SERVICE)
     template = bytearray(fabric.wrap_request(way, load.payload))
     made = []
     for number in range(load.callers):
--- a/asv_bench/plain_hashing.py
+++ b/asv_bench/plain_hashing.py
@@ -23,7 +23,7 @@
 
 POLL = 0.1
 
-LinkName = tuple[fabric.Way, str]
+LinkName = tuple[fabric.AddressPair, str]
 
 
 class PlainHashing:
@@ -73,7 +73,7 @@
                 self._servers_by_service = json.loads(self._path.read_text())
             await asyncio.sleep(POLL)
 
-    def _link(self, way: fabric.Way, server: str) -> DatagramSocket:
+    def _link(self, way: fabric.AddressPair, server: str) -> DatagramSocket:
         name = (way, server)
         link = self._link_by_name.get(name)
         if link is None:
@@ -84,7 +84,7 @@
         return link
 
     def _answer(
-        self, way: fabric.Way, payload: bytes, source: tuple[str, int]
+        self, way: fabric.AddressPair, payload: bytes, source: tuple[str, int]
     ) -> None:
         if self.inside is not None and self._fabric is not None:
             self.inside.send(fabric.wrap(way, payload), self._fabric)
--- a/processes/cluster.py
+++ b/processes/cluster.py
@@ -37,7 +37,7 @@
 from redwingstream.errors import CallFailedError
 from redwingstream.keyfile import read_key_file
 from redwingstream.operators.client import ControlClient
-from redwingstream.operators.overview import tables_of
+from redwingstream.operators.overview import tables_from
 from redwingstream.tables.edits import (
     ChangeAnswer,
     ChangeRequest,
@@ -193,7 +193,7 @@
 
     async def tables(self) -> Tables:
         """Return the tables as of now, from the leader."""
-        return tables_of(await self.client.read_tables())
+        return tables_from(await self.client.read_tables())
 
     async def route(self, number: int, pool: str = SWARD) -> int:
         """Add one route with a service of its own; return its revision."""
--- a/redwingstream/agent/role.py
+++ b/redwingstream/agent/role.py
@@ -16,7 +16,7 @@
 )
 from redwingstream.endpoints import Endpoint, parse_endpoint
 from redwingstream.membership.messages import Announce, ProbeAck
-from redwingstream.node.guard import survived
+from redwingstream.node.guard import count_errors
 from redwingstream.node.member import MemberNode
 from redwingstream.node.metrics import Metrics
 from redwingstream.settings.roles import AgentSettings
@@ -102,15 +102,15 @@
 
     def fetch_if_newer(self, revision: int, endpoint: str) -> None:
         """Fetch newer tables."""
-        self._node.follower.hear(revision, parse_endpoint(endpoint))
+        self._node.follower.handle_revision(revision, parse_endpoint(endpoint))
 
     def _connect(self) -> None:
         self._node.follower.on_tables = self._apply_tables
         self._node.vitals = self._runner.vitals
-        self._node.state = self._runner.state
+        self._node.describe_state = self._runner.state
         for message_class in AGENT_MESSAGES:
-            self._node.handle(message_class, self._on_frame)
-        self._node.handle(ProbeAck, self._on_probe_ack)
+            self._node.register_handler(message_class, self._on_frame)
+        self._node.register_handler(ProbeAck, self._on_probe_ack)
 
     def _tables(self) -> Tables:
         follower = self._node.follower
@@ -126,7 +126,7 @@
 
     def _on_probe_ack(self, ack: ProbeAck, source: Endpoint) -> None:
         self._runner.record_heard(str(source))
-        self._node.follower.hear(ack.revision, source)
+        self._node.follower.handle_revision(ack.revision, source)
 
     def _on_server_packet(self, packet: bytes, source: int) -> None:
         self._runner.handle_server_packet(packet, source, self._node.now)
@@ -138,7 +138,7 @@
         applied_incarnation = 0
         while True:
             await asyncio.sleep(TICK)
-            with survived('tick', self.metrics):
+            with count_errors('tick', self.metrics):
                 if self._node.announcer.incarnation != applied_incarnation:
                     # The admission may arrive after the tables that contain
                     # it.
--- a/redwingstream/agent/tests/pool.py
+++ b/redwingstream/agent/tests/pool.py
@@ -19,7 +19,7 @@
     Forward,
     Forwarder,
     Refuse,
-    final_answer,
+    rejection_response,
 )
 from redwingstream.endpoints import parse_endpoint
 from redwingstream.errors import ResultCode
@@ -39,7 +39,7 @@
 )
 from redwingstream.tables.snapshot import Tables
 from redwingstream.wire import coap
-from redwingstream.wire.fabric import Way
+from redwingstream.wire.fabric import AddressPair
 
 POOL = 'lot-desk'
 SERVICE = '198.51.100.1:5683'
@@ -182,7 +182,7 @@
             case Tables(revision=revision):
                 if revision > self.tables.revision:
                     self.tables = frame.payload
-                    self._forwarder.adopt(self.tables)
+                    self._forwarder.apply_tables(self.tables)
             case CallerPacket():
                 self._forward(frame.payload, now)
             case Answer(revision, caller, service, payload):
@@ -206,7 +206,9 @@
             self._exchange.send(self.endpoint, source, Fetch())
 
     def _forward(self, packet: CallerPacket, now: float) -> None:
-        way = Way(parse_endpoint(packet.caller), parse_endpoint(packet.service))
+        way = AddressPair(
+            parse_endpoint(packet.caller), parse_endpoint(packet.service)
+        )
         match self._forwarder.decide(way, packet.payload, now):
             case Forward(agent, forwarded):
                 self._exchange.send(self.endpoint, str(agent), forwarded)
@@ -216,7 +218,7 @@
     def _refuse(self, packet: CallerPacket, reason: ResultCode) -> None:
         request = coap.decode(packet.payload)
         if coap.is_request(request):
-            payload = coap.encode(final_answer(request, reason))
+            payload = coap.encode(rejection_response(request, reason))
             answer = attrs.evolve(packet, payload=payload)
             self._exchange.send(self.endpoint, packet.caller, answer)
 
--- a/redwingstream/balancer/forwarder.py
+++ b/redwingstream/balancer/forwarder.py
@@ -15,7 +15,7 @@
 from redwingstream.tables.routing import Routing
 from redwingstream.tables.snapshot import Tables
 from redwingstream.wire import coap
-from redwingstream.wire.fabric import Way
+from redwingstream.wire.fabric import AddressPair
 
 
 @attrs.frozen
@@ -70,7 +70,7 @@
         self._routing = Routing({})
         self._pairs_by_pool: dict[str, PairTable] = {}
 
-    def adopt(self, tables: Tables) -> None:
+    def apply_tables(self, tables: Tables) -> None:
         """Go by newer tables from now on."""
         if tables.route_by_key != self._tables.route_by_key:
             self._routing = Routing(tables.route_by_key)
@@ -82,7 +82,7 @@
             self._pairs_by_pool.pop(pool, None)
         self._tables = tables
 
-    def decide(self, way: Way, payload: bytes, now: float) -> Decision:
+    def decide(self, way: AddressPair, payload: bytes, now: float) -> Decision:
         """Return where a packet goes, or why it is refused.
 
         Parameters
@@ -138,7 +138,7 @@
         return home
 
 
-def final_answer(request: Message, reason: ResultCode) -> Message:
+def rejection_response(request: Message, reason: ResultCode) -> Message:
     """Return what a caller is told whose request no agent is found for.
 
     Notes
--- a/redwingstream/balancer/role.py
+++ b/redwingstream/balancer/role.py
@@ -11,13 +11,13 @@
     Forward,
     Forwarder,
     Refuse,
-    final_answer,
+    rejection_response,
 )
 from redwingstream.endpoints import Endpoint
 from redwingstream.errors import ResultCode, WireError
 from redwingstream.forwarding.messages import Answer
 from redwingstream.membership.messages import Announce, Probe, ProbeAck
-from redwingstream.node.guard import survived
+from redwingstream.node.guard import count_errors
 from redwingstream.node.member import MemberNode
 from redwingstream.node.metrics import Metrics
 from redwingstream.settings.roles import BalancerSettings
@@ -58,8 +58,8 @@
         )
         self._node = MemberNode(settings, key, announcement, self.metrics)
         self._node.follower.on_tables = self._on_tables
-        self._node.handle(Answer, self._on_answer)
-        self._node.handle(ProbeAck, self._on_probe_ack)
+        self._node.register_handler(Answer, self._on_answer)
+        self._node.register_handler(ProbeAck, self._on_probe_ack)
         self._forwarder = Forwarder(settings.endpoint, key)
         self._fabric_socket: DatagramSocket | None = None
         self._fabric_source = settings.fabric
@@ -92,7 +92,7 @@
 
     def adopt(self, tables: Tables) -> None:
         """Go by newer tables from now on."""
-        self._forwarder.adopt(tables)
+        self._forwarder.apply_tables(tables)
 
     def _on_tables(self) -> None:
         self.adopt(self._node.follower.history.tables)
@@ -116,7 +116,7 @@
                 self._refuse(way, payload, reason)
 
     def _refuse(
-        self, way: fabric.Way, payload: bytes, reason: ResultCode
+        self, way: fabric.AddressPair, payload: bytes, reason: ResultCode
     ) -> None:
         try:
             request = coap.decode(payload)
@@ -124,12 +124,12 @@
             self.metrics.count('caller_malformed')
             return
         if coap.is_request(request):
-            refusal = final_answer(request, reason)
+            refusal = rejection_response(request, reason)
             self._to_fabric(fabric.wrap(way, coap.encode(refusal)))
 
     def _on_answer(self, answer: Answer, source: Endpoint) -> None:
         self._forwarder.links.record_heard(source)
-        self._node.follower.hear(answer.revision, source)
+        self._node.follower.handle_revision(answer.revision, source)
         self._tell_newer(answer.revision, source)
         try:
             datagram = fabric.wrap_answer(
@@ -160,12 +160,12 @@
 
     def _on_probe_ack(self, ack: ProbeAck, source: Endpoint) -> None:
         self._forwarder.links.record_heard(source)
-        self._node.follower.hear(ack.revision, source)
+        self._node.follower.handle_revision(ack.revision, source)
 
     async def _probe(self) -> None:
         while True:
             await asyncio.sleep(_PROBE_TICK)
-            with survived('probe', self.metrics):
+            with count_errors('probe', self.metrics):
                 self._probe_once()
 
     def _probe_once(self) -> None:
--- a/redwingstream/balancer/tests/test_forwarder.py
+++ b/redwingstream/balancer/tests/test_forwarder.py
@@ -15,12 +15,12 @@
     ViewMember,
 )
 from redwingstream.tables.snapshot import Tables
-from redwingstream.wire.fabric import Way
+from redwingstream.wire.fabric import AddressPair
 
 KEY = b'k' * 32
 SERVICE = '127.0.0.1:5683'
 POOL = 'sward-live'
-WAY = Way(Endpoint('10.0.0.1', 4000), parse_endpoint(SERVICE))
+WAY = AddressPair(Endpoint('10.0.0.1', 4000), parse_endpoint(SERVICE))
 MEMBERS = tuple(
     ViewMember(f'host-{number}', 1, f'127.0.1.{number}:7000', zone)
     for number, zone in enumerate(('carse', 'carse', 'strathmore'))
@@ -46,7 +46,7 @@
 def forwarder_with(tables: Tables) -> Forwarder:
     """Return a forwarder that goes by some tables."""
     forwarder = Forwarder(Endpoint('127.0.2.1', 7000), KEY)
-    forwarder.adopt(tables)
+    forwarder.apply_tables(tables)
     return forwarder
 
 
@@ -109,6 +109,6 @@
 
     def test_forgets_a_pool_that_was_removed(self) -> None:
         forwarder = forwarder_with(tables_of())
-        forwarder.adopt(Tables(revision=4))
+        forwarder.apply_tables(Tables(revision=4))
         decision = forwarder.decide(WAY, b'', 0)
         assert decision == Refuse(ResultCode.NO_ROUTE)
--- a/redwingstream/balancer/tests/test_role.py
+++ b/redwingstream/balancer/tests/test_role.py
@@ -31,7 +31,7 @@
 from redwingstream.wire.datagrams import DatagramSocket, open_datagrams
 from redwingstream.wire.frames import FrameCodec
 
-WAY = fabric.Way(Endpoint('10.0.0.1', 4000), parse_endpoint(SERVICE))
+WAY = fabric.AddressPair(Endpoint('10.0.0.1', 4000), parse_endpoint(SERVICE))
 ANY = Endpoint('127.0.0.1', 0)
 
 
--- a/redwingstream/daemon.py
+++ b/redwingstream/daemon.py
@@ -16,8 +16,8 @@
 
 from redwingstream.errors import RedwingstreamError
 from redwingstream.keyfile import read_key_file
-from redwingstream.settings.flags import given_flags, options_of
-from redwingstream.settings.reading import read_settings, variable_of
+from redwingstream.settings.flags import flag_values, options_for
+from redwingstream.settings.reader import read_settings, variable_name
 from redwingstream.settings.roles import (
     AgentSettings,
     BalancerSettings,
@@ -34,7 +34,7 @@
 
     def handle(self) -> int:
         """Become the role; return a result code when the settings are bad."""
-        flags = given_flags(self, self.settings_class)
+        flags = flag_values(self, self.settings_class)
         try:
             settings = read_settings(self.settings_class, flags, os.environ)
             read_key_file(settings.key_file)
@@ -49,7 +49,7 @@
     environment = dict(os.environ)
     for flag, text in flags.items():
         if text is not None:
-            environment[variable_of(flag.replace('-', '_'))] = text
+            environment[variable_name(flag.replace('-', '_'))] = text
     # The flags stand there for whoever lists processes; they are not read.
     shown = sys.argv[2:]
     module = 'redwingstream.running'
@@ -65,7 +65,7 @@
     name = 'balancer'
     description = 'Run a balancer: a thin entry instance behind the fabric.'
     settings_class = BalancerSettings
-    options = options_of(BalancerSettings)
+    options = options_for(BalancerSettings)
 
 
 class AgentCommand(_RoleCommand):
@@ -74,7 +74,7 @@
     name = 'agent'
     description = 'Run an agent: the process beside a backend server.'
     settings_class = AgentSettings
-    options = options_of(AgentSettings)
+    options = options_for(AgentSettings)
 
 
 class ControlCommand(_RoleCommand):
@@ -83,7 +83,7 @@
     name = 'control'
     description = 'Run a control instance: a replica of the durable state.'
     settings_class = ControlRoleSettings
-    options = options_of(ControlRoleSettings)
+    options = options_for(ControlRoleSettings)
 
 
 class RecoverCommand(_RoleCommand):
@@ -92,7 +92,7 @@
     name = 'recover'
     description = 'Go on from one data folder when a majority of them is lost.'
     settings_class = RecoverySettings
-    options = options_of(RecoverySettings)
+    options = options_for(RecoverySettings)
 
 
 COMMANDS = (BalancerCommand, AgentCommand, ControlCommand, RecoverCommand)
--- a/redwingstream/node/following.py
+++ b/redwingstream/node/following.py
@@ -53,7 +53,7 @@
         """Revision of the tables here."""
         return self.history.tables.revision
 
-    def hear(self, revision: int, source: Endpoint) -> None:
+    def handle_revision(self, revision: int, source: Endpoint) -> None:
         """Fetch the tables when another process knows newer ones.
 
         This is how a change reaches a process that control cannot reach:
--- a/redwingstream/node/guard.py
+++ b/redwingstream/node/guard.py
@@ -13,7 +13,7 @@
 
 
 @contextlib.contextmanager
-def survived(what: str, metrics: Metrics) -> Iterator[None]:
+def count_errors(what: str, metrics: Metrics) -> Iterator[None]:
     """Count an error in a block as ``failed_WHAT`` and go on.
 
     Notes
--- a/redwingstream/node/member.py
+++ b/redwingstream/node/member.py
@@ -32,7 +32,7 @@
     ProbeAck,
 )
 from redwingstream.node.following import TablesFollower
-from redwingstream.node.guard import survived
+from redwingstream.node.guard import count_errors
 from redwingstream.node.metrics import Metrics
 from redwingstream.settings.roles import MemberSettings
 from redwingstream.tables.messages import FetchTables
@@ -93,7 +93,7 @@
         self.vitals: Callable[[], Vitals] = lambda: Vitals(
             revision=self.follower.revision
         )
-        self.state: Callable[[], dict[str, Any]] = dict
+        self.describe_state: Callable[[], dict[str, Any]] = dict
         self._socket: DatagramSocket | None = None
         self._rng = random.Random()
         self._handler_by_class: dict[type, FrameHandler] = {
@@ -108,7 +108,9 @@
         """Seconds on the loop's clock."""
         return asyncio.get_running_loop().time()
 
-    def handle(self, message_class: type, handler: FrameHandler) -> None:
+    def register_handler(
+        self, message_class: type, handler: FrameHandler
+    ) -> None:
         """Register what happens with a class of frames."""
         self._handler_by_class[message_class] = handler
 
@@ -137,7 +139,7 @@
 
     async def _beat(self) -> None:
         while True:
-            with survived('beat', self.metrics):
+            with count_errors('beat', self.metrics):
                 self._beat_once()
             spread = self._rng.uniform(*_BEAT_SPREAD)
             await asyncio.sleep(HEARTBEAT_INTERVAL * spread)
@@ -178,7 +180,7 @@
         if handler is None:
             self.metrics.count('frame_unexpected')
             return
-        with survived('frame', self.metrics):
+        with count_errors('frame', self.metrics):
             handler(opened.payload, Endpoint(*source))
 
     def _on_challenge(self, challenge: Challenge, source: Endpoint) -> None:
@@ -193,14 +195,14 @@
                 self.settings.host,
                 self.announcer.incarnation,
             )
-        self.follower.hear(ack.revision, source)
+        self.follower.handle_revision(ack.revision, source)
 
     def _on_probe(self, probe: Probe, source: Endpoint) -> None:
         self.send(source, ProbeAck(self.follower.revision))
-        self.follower.hear(probe.revision, source)
+        self.follower.handle_revision(probe.revision, source)
 
     def _on_probe_ack(self, ack: ProbeAck, source: Endpoint) -> None:
-        self.follower.hear(ack.revision, source)
+        self.follower.handle_revision(ack.revision, source)
 
     async def _on_call(self, request: object) -> object:
         match request:
@@ -227,6 +229,6 @@
             'leader': str(self.announcer.target),
             'metrics': dict(self.metrics.total_by_name),
             'tables': attrs.asdict(tables, recurse=False),
-            **self.state(),
+            **self.describe_state(),
         }
         return msgspec.json.encode(described).decode()
--- a/redwingstream/node/tests/test_following.py
+++ b/redwingstream/node/tests/test_following.py
@@ -89,9 +89,9 @@
         and what peers say in the meantime was not listened to.
         """
         calls.update_by_endpoint[PEER] = UPDATE
-        follower.hear(UPDATE.revision, CONTROL)
+        follower.handle_revision(UPDATE.revision, CONTROL)
         await asyncio.sleep(2 * HEDGE_AFTER)
-        follower.hear(UPDATE.revision, PEER)
+        follower.handle_revision(UPDATE.revision, PEER)
         await asyncio.sleep(2 * PACKET)
         assert follower.history.tables.is_zone_out('carse')
         follower.close()
@@ -100,8 +100,8 @@
         self, calls: FakeCalls, follower: TablesFollower
     ) -> None:
         calls.update_by_endpoint.update({CONTROL: UPDATE, PEER: UPDATE})
-        follower.hear(UPDATE.revision, CONTROL)
-        follower.hear(UPDATE.revision, PEER)
+        follower.handle_revision(UPDATE.revision, CONTROL)
+        follower.handle_revision(UPDATE.revision, PEER)
         await asyncio.sleep(HEARTBEAT)
         assert calls.asked == [CONTROL]
 
@@ -110,7 +110,7 @@
     ) -> None:
         sources = [Endpoint('127.0.0.3', port) for port in range(1, 20)]
         for source in sources:
-            follower.hear(UPDATE.revision, source)
+            follower.handle_revision(UPDATE.revision, source)
             await asyncio.sleep(HEDGE_AFTER)
         assert calls.most_running == MAX_FETCHES
         follower.close()
@@ -125,7 +125,7 @@
         """
         calls.update_by_endpoint[PEER] = TablesUpdate(since=0, revision=0)
         for _ in range(100):
-            follower.hear(UPDATE.revision, PEER)
+            follower.handle_revision(UPDATE.revision, PEER)
             await asyncio.sleep(PACKET)
         assert len(calls.asked) <= 10
         follower.close()
--- a/redwingstream/node/tests/test_member.py
+++ b/redwingstream/node/tests/test_member.py
@@ -113,7 +113,9 @@
         informed.follower.history.apply_update(UPDATE)
         other = member_at(free_endpoint())
         async with informed.opened(), other.opened():
-            other.follower.hear(UPDATE.revision, informed.settings.endpoint)
+            other.follower.handle_revision(
+                UPDATE.revision, informed.settings.endpoint
+            )
             await until(lambda: other.follower.revision == UPDATE.revision)
 
     async def test_answers_calls(self) -> None:
--- a/redwingstream/operators/commands/base.py
+++ b/redwingstream/operators/commands/base.py
@@ -15,8 +15,8 @@
 from redwingstream.operators.client import ControlClient
 from redwingstream.operators.rendering import json_text
 from redwingstream.operators.settings import OperatorSettings
-from redwingstream.settings.flags import given_flags, options_of
-from redwingstream.settings.reading import read_settings
+from redwingstream.settings.flags import flag_values, options_for
+from redwingstream.settings.reader import read_settings
 from redwingstream.wire.calls import MAX_CALL_SIZE, CallClient
 from redwingstream.wire.frames import FrameCodec
 
@@ -31,7 +31,7 @@
 def setting_options() -> list[Any]:
     """Return the options that every command has."""
     return [
-        *options_of(OperatorSettings),
+        *options_for(OperatorSettings),
         option('json', description='Write JSON for programs.'),
     ]
 
@@ -79,7 +79,7 @@
         self.line_error(_plain(text))
 
     def _handle(self) -> ResultCode:
-        flags = given_flags(self, OperatorSettings)
+        flags = flag_values(self, OperatorSettings)
         self.settings = read_settings(OperatorSettings, flags, os.environ)
         self.key = read_key_file(self.settings.key_file)
         self.check()
--- a/redwingstream/operators/commands/change.py
+++ b/redwingstream/operators/commands/change.py
@@ -10,7 +10,7 @@
     OperatorCommand,
     setting_options,
 )
-from redwingstream.operators.overview import endpoints_of, tables_of
+from redwingstream.operators.overview import endpoints_of, tables_from
 from redwingstream.operators.plans import Difference
 from redwingstream.operators.rendering import ChangeReport, change_lines
 from redwingstream.tables.edits import (
@@ -89,7 +89,7 @@
             force=self.option('force'),
             request_id=self.option('request-id') or '',
         )
-        members = tables_of(read).member_by_host.values()
+        members = tables_from(read).member_by_host.values()
         waits = self.option('wait')
         lagging = ()
         if waits:
--- a/redwingstream/operators/commands/explain.py
+++ b/redwingstream/operators/commands/explain.py
@@ -7,7 +7,7 @@
 from redwingstream.operators.client import ControlClient
 from redwingstream.operators.commands.base import OperatorCommand
 from redwingstream.operators.explain import explain
-from redwingstream.operators.overview import tables_of
+from redwingstream.operators.overview import tables_from
 from redwingstream.operators.reports import explanation_lines
 
 
@@ -25,7 +25,7 @@
         """Follow the traffic; exit with the code that callers would meet."""
         caller = parse_endpoint(self.argument('caller'))
         service = parse_endpoint(self.argument('service'))
-        tables = tables_of(await client.read_tables())
+        tables = tables_from(await client.read_tables())
         told = explain(tables, caller, service, self.key)
         self.show(told, explanation_lines(told))
         return told.code
--- a/redwingstream/operators/commands/members.py
+++ b/redwingstream/operators/commands/members.py
@@ -8,7 +8,7 @@
 from redwingstream.operators.client import ControlClient
 from redwingstream.operators.commands.base import OperatorCommand
 from redwingstream.operators.commands.change import ChangeCommand
-from redwingstream.operators.overview import tables_of, take_overview
+from redwingstream.operators.overview import tables_from, take_overview
 from redwingstream.operators.reports import overview_lines
 from redwingstream.tables.edits import (
     DrainMember,
@@ -78,7 +78,7 @@
     async def _find(self, client: ControlClient, process: str) -> Endpoint:
         if ':' in process:
             return parse_endpoint(process)
-        tables = tables_of(await client.read_tables())
+        tables = tables_from(await client.read_tables())
         member = tables.member_by_host.get(process)
         if member is None:
             known = ', '.join(sorted(tables.member_by_host)) or 'none'
--- a/redwingstream/operators/commands/tables.py
+++ b/redwingstream/operators/commands/tables.py
@@ -12,7 +12,7 @@
     ChangeCommand,
     change_options,
 )
-from redwingstream.operators.overview import tables_of
+from redwingstream.operators.overview import tables_from
 from redwingstream.operators.plans import make_plan, read_tables_file
 from redwingstream.operators.rendering import (
     difference_lines,
@@ -56,7 +56,7 @@
 
     async def run_command(self, client: ControlClient) -> ResultCode:
         """Show it."""
-        tables = tables_of(await client.read_tables())
+        tables = tables_from(await client.read_tables())
         rows = tuple(tables.route_by_key.values())
         self.show(rows, route_lines(rows))
         return ResultCode.OK
@@ -106,7 +106,7 @@
 
     async def run_command(self, client: ControlClient) -> ResultCode:
         """Show it."""
-        tables = tables_of(await client.read_tables())
+        tables = tables_from(await client.read_tables())
         rows = tuple(tables.pool_by_name.values())
         self.show(rows, pool_lines(rows))
         return ResultCode.OK
@@ -174,7 +174,7 @@
 
     async def run_command(self, client: ControlClient) -> ResultCode:
         """Show them."""
-        tables = tables_of(await client.read_tables())
+        tables = tables_from(await client.read_tables())
         rows = tuple(tables.zone_by_name.values())
         self.show(rows, zone_lines(rows))
         return ResultCode.OK
@@ -231,7 +231,7 @@
         """Show the differences, ask, and make the change."""
         wanted = read_tables_file(pathlib.Path(self.argument('file')))
         read = await client.read_tables()
-        plan = make_plan(tables_of(read), wanted)
+        plan = make_plan(tables_from(read), wanted)
         lines = difference_lines(plan.differences)
         if self.option('dry-run') or not plan.differences:
             self.show(plan.differences, lines or ['no differences'])
--- a/redwingstream/operators/overview.py
+++ b/redwingstream/operators/overview.py
@@ -114,7 +114,7 @@
     )
 
 
-def tables_of(read: TablesRead) -> Tables:
+def tables_from(read: TablesRead) -> Tables:
     """Return the tables that the leader has sent."""
     return Tables().updated(read.update)
 
@@ -122,7 +122,7 @@
 async def take_overview(client: ControlClient) -> Overview:
     """Ask the leader for the tables and every process for its state."""
     read = await client.read_tables()
-    tables = tables_of(read)
+    tables = tables_from(read)
     surveyor = _Surveyor(client, read.config_revision)
     members = sorted(
         tables.member_by_host.values(), key=lambda member: member.host
--- a/redwingstream/operators/settings.py
+++ b/redwingstream/operators/settings.py
@@ -12,7 +12,7 @@
     parse_endpoints,
     parse_seconds,
 )
-from redwingstream.settings.reading import setting
+from redwingstream.settings.reader import setting
 
 DEFAULT_TIMEOUT = 10
 
--- a/redwingstream/running.py
+++ b/redwingstream/running.py
@@ -24,7 +24,7 @@
 
 from redwingstream.errors import RedwingstreamError, ResultCode
 from redwingstream.keyfile import read_key_file
-from redwingstream.settings.reading import read_settings
+from redwingstream.settings.reader import read_settings
 from redwingstream.settings.roles import (
     AgentSettings,
     BalancerSettings,
--- a/redwingstream/settings/flags.py
+++ b/redwingstream/settings/flags.py
@@ -6,17 +6,17 @@
 from cleo.commands.command import Command
 from cleo.helpers import option
 
-from redwingstream.settings.reading import flag_of, info_of, variable_of
+from redwingstream.settings.reader import flag_of, info_of, variable_name
 
 
-def options_of(settings_class: type[Any]) -> list[Any]:
+def options_for(settings_class: type[Any]) -> list[Any]:
     """Return the command-line options of a settings class.
 
     Parameters
     ----------
     settings_class : type
         An ``attrs`` class whose fields were made by
-        :func:`~redwingstream.settings.reading.setting`.
+        :func:`~redwingstream.settings.reader.setting`.
 
     Returns
     -------
@@ -29,7 +29,7 @@
             flag_of(field.name),
             description=(
                 f'{info_of(field).help} Allowed: {info_of(field).allowed}. '
-                f'Environment: {variable_of(field.name)}.'
+                f'Environment: {variable_name(field.name)}.'
             ),
             flag=False,
         )
@@ -37,7 +37,7 @@
     ]
 
 
-def given_flags(
+def flag_values(
     command: Command, settings_class: type[Any]
 ) -> dict[str, str | None]:
     """Return the text of each setting's flag; None for one not given.
--- a/redwingstream/settings/reading.py
+++ b/redwingstream/settings/reader.py
@@ -61,7 +61,7 @@
     return field_name.replace('_', '-')
 
 
-def variable_of(field_name: str) -> str:
+def variable_name(field_name: str) -> str:
     """Return the environment variable of a setting."""
     return ENVIRONMENT_PREFIX + field_name.upper()
 
@@ -102,14 +102,14 @@
     for field in attrs.fields(settings_class):
         text = flags.get(flag_of(field.name))
         if text is None:
-            text = environ.get(variable_of(field.name))
+            text = environ.get(variable_name(field.name))
         if text is not None:
             found[field.name] = _parse_one(field, text)
         elif field.default is attrs.NOTHING:
             raise SettingError(
                 f'setting --{flag_of(field.name)} is missing; allowed: '
                 f'{info_of(field).allowed}; give the flag or set '
-                f'{variable_of(field.name)}',
+                f'{variable_name(field.name)}',
             )
     return settings_class(**found)
 
@@ -122,5 +122,5 @@
         raise SettingError(
             f'setting --{flag_of(field.name)} has value {text!r}; allowed: '
             f'{info.allowed}; correct the flag or '
-            f'{variable_of(field.name)} ({error})',
+            f'{variable_name(field.name)} ({error})',
         ) from error
--- a/redwingstream/settings/reference.py
+++ b/redwingstream/settings/reference.py
@@ -6,7 +6,7 @@
 import attrs
 
 from redwingstream.endpoints import Endpoint
-from redwingstream.settings.reading import flag_of, info_of, variable_of
+from redwingstream.settings.reader import flag_of, info_of, variable_name
 from redwingstream.settings.roles import (
     AgentSettings,
     BalancerSettings,
@@ -45,7 +45,7 @@
 def _row(field: 'attrs.Attribute[Any]') -> str:
     info = info_of(field)
     flag = flag_of(field.name)
-    from_environment = variable_of(field.name)
+    from_environment = variable_name(field.name)
     default = _default_of(field.default)
     return (
         f'| `--{flag}` | `{from_environment}` | {default} | {info.allowed} | '
--- a/redwingstream/settings/roles.py
+++ b/redwingstream/settings/roles.py
@@ -22,7 +22,7 @@
     parse_seconds,
     parse_weight,
 )
-from redwingstream.settings.reading import setting
+from redwingstream.settings.reader import setting
 from redwingstream.tables.rows import DEFAULT_WEIGHT
 
 DEFAULT_DRAIN_SECONDS = 30
--- a/redwingstream/settings/tests/test_reading.py
+++ b/redwingstream/settings/tests/test_reading.py
@@ -4,7 +4,7 @@
 
 from redwingstream.endpoints import Endpoint
 from redwingstream.errors import SettingError
-from redwingstream.settings.reading import read_settings
+from redwingstream.settings.reader import read_settings
 from redwingstream.settings.roles import AgentSettings, ControlRoleSettings
 
 FLAGS = {
--- a/redwingstream/wire/fabric.py
+++ b/redwingstream/wire/fabric.py
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen
-class Way:
+class AddressPair:
     """Between whom a datagram goes.
 
     Parameters
@@ -57,7 +57,7 @@
     service: Endpoint
 
 
-def unwrap(datagram: bytes) -> tuple[Way, bytes]:
+def unwrap(datagram: bytes) -> tuple[AddressPair, bytes]:
     """Split a datagram from the fabric into its way and its payload.
 
     Raises
@@ -74,7 +74,7 @@
     return _read_header(datagram[:size]), datagram[size:]
 
 
-def wrap(way: Way, payload: bytes) -> bytes:
+def wrap(way: AddressPair, payload: bytes) -> bytes:
     """Return the datagram that takes an answer to a caller."""
     return _make_header(way.service, way.caller) + payload
 
@@ -108,19 +108,19 @@
         ) from error
 
 
-def wrap_request(way: Way, payload: bytes) -> bytes:
+def wrap_request(way: AddressPair, payload: bytes) -> bytes:
     """Return the datagram by which a fabric hands in a caller's packet."""
     return _make_header(way.caller, way.service) + payload
 
 
-def unwrap_answer(datagram: bytes) -> tuple[Way, bytes]:
+def unwrap_answer(datagram: bytes) -> tuple[AddressPair, bytes]:
     """Split a datagram that goes out to the fabric; see :func:`unwrap`."""
     backwards, payload = unwrap(datagram)
-    return Way(backwards.service, backwards.caller), payload
+    return AddressPair(backwards.service, backwards.caller), payload
 
 
 @functools.lru_cache(maxsize=_CACHED_HEADERS)
-def _read_header(header: bytes) -> Way:
+def _read_header(header: bytes) -> AddressPair:
     try:
         parsed = _codec.unpack(header)
     except _HEADER_ERRORS as error:
@@ -129,18 +129,18 @@
         raise WireError('PROXY protocol v2 header names no IP addresses')
     source_host, source_port = parsed.source
     dest_host, dest_port = parsed.dest
-    return Way(
+    return AddressPair(
         Endpoint(str(source_host), source_port),
         Endpoint(str(dest_host), dest_port),
     )
 
 
-def _read_v4(datagram: bytes) -> Way:
+def _read_v4(datagram: bytes) -> AddressPair:
     source_host, dest_host, source_port, dest_port = _ADDRESSES_V4.unpack_from(
         datagram, _FIXED_SIZE
     )
     caller = Endpoint(socket.inet_ntoa(source_host), source_port)
-    return Way(caller, _service_of(dest_host, dest_port))
+    return AddressPair(caller, _service_of(dest_host, dest_port))
 
 
 @functools.lru_cache(maxsize=_CACHED_SERVICES)
--- a/redwingstream/wire/tests/test_fabric.py
+++ b/redwingstream/wire/tests/test_fabric.py
@@ -13,8 +13,8 @@
 from redwingstream.wire import fabric
 
 WAYS = (
-    fabric.Way(Endpoint('10.0.0.1', 5683), Endpoint('10.0.0.2', 5684)),
-    fabric.Way(Endpoint('fd00::1', 1), Endpoint('fd00::2', 65535)),
+    fabric.AddressPair(Endpoint('10.0.0.1', 5683), Endpoint('10.0.0.2', 5684)),
+    fabric.AddressPair(Endpoint('fd00::1', 1), Endpoint('fd00::2', 65535)),
 )
 HEADER = fabric.wrap_request(WAYS[0], b'')
 
@@ -23,17 +23,19 @@
     """Both directions, and what is not a header."""
 
     @pytest.mark.parametrize('way', WAYS)
-    def test_reads_what_a_fabric_writes(self, way: fabric.Way) -> None:
+    def test_reads_what_a_fabric_writes(self, way: fabric.AddressPair) -> None:
         datagram = fabric.wrap_request(way, b'packet')
         assert fabric.unwrap(datagram) == (way, b'packet')
 
     @pytest.mark.parametrize('way', WAYS)
-    def test_answers_go_the_other_way(self, way: fabric.Way) -> None:
+    def test_answers_go_the_other_way(self, way: fabric.AddressPair) -> None:
         datagram = fabric.wrap(way, b'answer')
         assert fabric.unwrap_answer(datagram) == (way, b'answer')
 
     @pytest.mark.parametrize('way', WAYS)
-    def test_an_answer_by_names_is_the_same(self, way: fabric.Way) -> None:
+    def test_an_answer_by_names_is_the_same(
+        self, way: fabric.AddressPair
+    ) -> None:
         by_names = fabric.wrap_answer(str(way.caller), str(way.service), b'a')
         assert by_names == fabric.wrap(way, b'a')
 
@@ -57,7 +59,7 @@
     ) -> None:
         caller = Endpoint(str(host), port)
         service = Endpoint('10.9.0.1', other_port)
-        way = fabric.Way(caller, service)
+        way = fabric.AddressPair(caller, service)
         header = fabric.wrap_request(way, b'')
         parsed = ProxyProtocolV2().unpack(header)
         assert parsed.source == (host, port)
@@ -86,4 +88,4 @@
             way, _ = fabric.unwrap(bytes(datagram))
         except WireError:
             return
-        assert isinstance(way, fabric.Way)
+        assert isinstance(way, fabric.AddressPair)
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -104,7 +104,7 @@
     ) -> None:
         """Spray a caller's packet."""
         self.counters.inbound += 1
-        way = fabric.Way(Endpoint(*source), service)
+        way = fabric.AddressPair(Endpoint(*source), service)
         datagram = fabric.wrap_request(way, payload)
         self._with_faults(functools.partial(self._spray, datagram))
 
