--- a/properties/test_admission.py
+++ b/properties/test_admission.py
@@ -2,7 +2,7 @@
 
 import heapq
 
-from hypothesis import settings
+from hypothesis import seed, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -11,6 +11,7 @@
     rule,
 )
 
+from properties.seeds import seed_of
 from redwingstream.admission.feed_limit import COLD_FEEDS, FeedLimit
 from redwingstream.admission.concurrency_limit import (
     ConcurrencyLimit,
@@ -19,6 +20,7 @@
 from redwingstream.admission.tests.fake_server import FakeServer
 
 
+@seed(seed_of('admission.ConcurrencyMachine'))
 class ConcurrencyMachine(RuleBasedStateMachine):
     """Callers, a server that turns cold at any time, and the limit."""
 
@@ -80,6 +82,7 @@
         self.limit.record_finished(latency, RunResult.COMPLETED, self.now)
 
 
+@seed(seed_of('admission.FeedMachine'))
 class FeedMachine(RuleBasedStateMachine):
     """Feeds are opened, end and are lost with their server."""
 
--- a/properties/test_consensus.py
+++ b/properties/test_consensus.py
@@ -1,6 +1,6 @@
 """Replicas under lost, repeated and reordered messages, crashes, lost disks."""
 
-from hypothesis import settings
+from hypothesis import seed, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -10,6 +10,7 @@
     rule,
 )
 
+from properties.seeds import seed_of
 from redwingstream.consensus.events import HandOverRequested
 from redwingstream.control.tests.fakes import NAMES, Fleet
 from redwingstream.errors import ResultCode
@@ -28,6 +29,7 @@
     return faults.fleet.all_are_voters()
 
 
+@seed(seed_of('consensus.ReplicaFaults'))
 class ReplicaFaults(RuleBasedStateMachine):
     """Any faults in any order; accepted entries stay."""
 
--- a/properties/test_feeds.py
+++ b/properties/test_feeds.py
@@ -4,7 +4,7 @@
 
 import attrs
 from aiocoap.message import Message
-from hypothesis import settings
+from hypothesis import seed, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -14,6 +14,7 @@
     rule,
 )
 
+from properties.seeds import seed_of
 from redwingstream.flows.effects import FRESH_SOURCE, FeedClosed
 from redwingstream.flows.exchanges import UpstreamLimits
 from redwingstream.flows.observe import COUNTER_LIMIT, FRESH_AFTER
@@ -57,6 +58,7 @@
     return machine.losses < MAX_LOSSES and bool(machine.in_flight)
 
 
+@seed(seed_of('feeds.FeedMachine'))
 class FeedMachine(RuleBasedStateMachine):
     """One caller's feed, three servers that may carry it, four balancers."""
 
--- a/properties/test_ledger.py
+++ b/properties/test_ledger.py
@@ -6,7 +6,7 @@
 them at its heir.
 """
 
-from hypothesis import settings
+from hypothesis import seed, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -14,6 +14,7 @@
     rule,
 )
 
+from properties.seeds import seed_of
 from redwingstream.requests.begun import (
     Answered,
     Fresh,
@@ -37,6 +38,7 @@
     return (key, number.to_bytes(2, 'big'))
 
 
+@seed(seed_of('ledger.LedgerMachine'))
 class LedgerMachine(RuleBasedStateMachine):
     """Callers repeat themselves, homes die or hand over, answers are lost."""
 
--- a/properties/test_placement.py
+++ b/properties/test_placement.py
@@ -1,9 +1,10 @@
 """Keepers of one pool under every mixture of faults keep their promises."""
 
-from hypothesis import settings
+from hypothesis import seed, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
+from properties.seeds import seed_of
 from redwingstream.placement.effects import InEffect
 from redwingstream.placement.tests.fakes import HORIZON
 from redwingstream.placement.tests.model import (
@@ -25,6 +26,7 @@
 SOME_HOSTS = st.sets(HOSTS, max_size=4)
 
 
+@seed(seed_of('placement.KeepersUnderFaults'))
 class KeepersUnderFaults(RuleBasedStateMachine):
     """Messages are lost, late, doubled; agents freeze, end and start again."""
 
--- a/properties/test_resizing.py
+++ b/properties/test_resizing.py
@@ -6,7 +6,7 @@
 those that count, and the next one only when all that count have theirs.
 """
 
-from hypothesis import settings
+from hypothesis import seed, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -16,6 +16,7 @@
     rule,
 )
 
+from properties.seeds import seed_of
 from redwingstream.control.tests.fakes import Fleet
 from redwingstream.errors import ResultCode
 from redwingstream.storage.tests.fakes import FakeFolder
@@ -40,6 +41,7 @@
     )
 
 
+@seed(seed_of('resizing.ResizingFaults'))
 class ResizingFaults(RuleBasedStateMachine):
     """Any faults in any order; accepted entries stay."""
 
@@ -209,3 +211,55 @@
         machine.freeze(number=3)
         machine.change(count=4)
         machine.teardown()
+
+
+NO_LEADER_STEPS = (
+    ('begin', {'seed': 1991}),
+    ('replace_for_good', {'number': 3}),
+    ('restart', {'number': 1}),
+    ('crash', {'number': 3}),
+    ('replace_for_good', {'number': 2}),
+    ('crash', {'number': 2}),
+    ('restart', {'number': 4}),
+    ('crash_within_a_write', {'number': 4, 'operations': 10}),
+    ('change', {'count': 3}),
+    ('restart', {'number': 1}),
+    ('freeze', {'number': 4}),
+    ('change', {'count': 1}),
+    ('let_time_pass', {'loss': 0.1, 'ticks': 46}),
+    ('crash_within_a_write', {'number': 3, 'operations': 0}),
+    ('let_time_pass', {'loss': 0.1, 'ticks': 19}),
+    ('let_time_pass', {'loss': 0, 'ticks': 36}),
+    ('freeze', {'number': 4}),
+    ('crash_within_a_write', {'number': 1, 'operations': 6}),
+    ('crash_within_a_write', {'number': 4, 'operations': 0}),
+    ('freeze', {'number': 0}),
+    ('lose_disk', {'number': 0}),
+    ('crash_within_a_write', {'number': 1, 'operations': 6}),
+    ('restart', {'number': 2}),
+    ('change', {'count': 1}),
+    ('change', {'count': 2}),
+    ('restart', {'number': 4}),
+    ('freeze', {'number': 3}),
+    ('change', {'count': 1}),
+    ('restart', {'number': 1}),
+    ('change', {'count': 6}),
+    ('change', {'count': 1}),
+    ('cut_one_way', {'receiver': 2, 'source': 0}),
+    ('freeze', {'number': 2}),
+    ('cut_one_way', {'receiver': 4, 'source': 0}),
+    ('cut_one_way', {'receiver': 3, 'source': 1}),
+    ('cut_one_way', {'receiver': 2, 'source': 1}),
+)
+
+
+class TestResizingRegressions:
+    """Sequences of faults that have failed once."""
+
+    def test_leader_after_two_replacements(self) -> None:
+        """No replica is elected after two replacements and a lost disk."""
+        machine = ResizingFaults()
+        for name, arguments in NO_LEADER_STEPS:
+            getattr(machine, name)(**arguments)
+            machine.one_leader_a_term()
+        machine.teardown()
--- a/properties/test_upstream.py
+++ b/properties/test_upstream.py
@@ -3,10 +3,11 @@
 import random
 
 import attrs
-from hypothesis import settings
+from hypothesis import seed, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
+from properties.seeds import seed_of
 from redwingstream.flows import effects
 from redwingstream.flows.exchanges import UpstreamLimits
 from redwingstream.flows.tests.fakes import FakeServer, request
@@ -27,6 +28,7 @@
     source: int
 
 
+@seed(seed_of('upstream.RequestMachine'))
 class RequestMachine(RuleBasedStateMachine):
     """Every request ends once, with its own answer or a true outcome."""
 
