--- a/redwingstream/membership/__init__.py
+++ b/redwingstream/membership/__init__.py
@@ -1,15 +1,16 @@
-"""Who is there: announcements, leases and incarnations.
+"""Membership of processes: announcements, leases, incarnations and probes.
 
 Modules
 -------
 messages
     Announcements, heartbeats, probes and dumps.
 announcer
-    The member's side: announces itself, then sends heartbeats.
-leases, returns
-    The leader's side: who is alive, and hosts that return too often.
+    Member side: announces the process, then sends heartbeats.
+leases, readmissions
+    Leader side: liveness of members, and delays for hosts that are admitted
+    again too often.
 checks
-    What is wrong with an announcement.
+    Validation of announcements.
 peers
-    Which peers have gone silent.
+    Detection of peers that do not answer.
 """
--- a/redwingstream/membership/announcer.py
+++ b/redwingstream/membership/announcer.py
@@ -1,4 +1,4 @@
-"""How a process becomes a member and stays one: announce, then heartbeat."""
+"""Member side of membership: announce the process, then send heartbeats."""
 
 import attrs
 
@@ -14,15 +14,24 @@
 """Seconds between two heartbeats of a member."""
 
 SILENCE_LIMIT = 2.5
-"""Seconds without an answer after which a member counts as cut off."""
+"""Seconds without an answer after which a process counts as cut off."""
 
-LEADER_SILENCE = 1.5
-"""Seconds without the leader after which all control instances are told."""
+LEADER_TIMEOUT = 1.5
+"""Seconds without the leader's answer after which messages go to all
+control instances."""
 
 
 @attrs.frozen
 class SendToControl:
-    """Send a message to a control instance."""
+    """Send a message to a control instance.
+
+    Parameters
+    ----------
+    endpoint : Endpoint
+        Endpoint of the control instance.
+    message : Announce or Heartbeat
+        Message to send.
+    """
 
     endpoint: Endpoint
     message: Announce | Heartbeat
@@ -30,7 +39,7 @@
 
 @attrs.frozen
 class Vitals:
-    """What a heartbeat says of its sender; see :class:`Heartbeat`."""
+    """State of a member that its heartbeats report; see :class:`Heartbeat`."""
 
     revision: int
     settled_view: int = 0
@@ -40,33 +49,33 @@
 
 
 class Announcer:
-    """Decides what to say to which control instance, and when.
+    """Decides which message to send to which control instance, and when.
 
     Parameters
     ----------
     announcement : Announce
-        What this process says of itself, without a challenge.
+        Announcement of this process, without a challenge.
     control : tuple of Endpoint
-        The control instances of its settings.
+        Control instances from the settings.
 
     Attributes
     ----------
     incarnation : int
-        Of this run, as the leader has admitted it; 0 while it has not.
+        Incarnation under which the leader has admitted this run; 0 before.
     leaving : bool
-        Set by the role when it drains; each heartbeat says so.
+        True while the process drains; part of each heartbeat.
     refusal : str
         Why the leader does not admit this run, or keeps it out of its pool;
         empty when it serves.
 
     Notes
     -----
-    A leader that is silent for ``LEADER_SILENCE`` seconds is no longer
-    believed: until one answers, every message goes to all control instances.
-    This guards against a leader that was cut off or frozen without a word:
-    heartbeats to it are lost, and this process would drop out of the view
-    although it is well.  Asking the others in turn would take longer than a
-    lease, and a follower may name the silent leader for a while.
+    When the leader has not answered for ``LEADER_TIMEOUT`` seconds, every
+    message goes to all control instances until a leader answers.  This guards
+    against a leader that is cut off or frozen: heartbeats to it are lost, and
+    this process would be removed from the view although it is healthy.  Trying
+    the other instances one after another would take longer than a lease, and a
+    follower may name the silent leader for a while.
     """
 
     def __init__(
@@ -75,9 +84,9 @@
         self._announcement = announcement
         self._control = control
         self._leader: Endpoint | None = None
-        self._led_at: float | None = None
+        self._leader_answered_at: float | None = None
         self._answered_at: float | None = None
-        self._asks_all = False
+        self._sends_to_all = False
         self._vitals = Vitals(0)
         self.incarnation = 0
         self.leaving = False
@@ -85,39 +94,56 @@
 
     @property
     def target(self) -> Endpoint:
-        """The control instance that is spoken to now."""
+        """The control instance to which messages go now."""
         return self._leader or self._control[0]
 
     @property
     def is_member(self) -> bool:
-        """Whether control has admitted this run of the process."""
+        """Whether the leader has admitted this run of the process."""
         return self.incarnation > 0
 
     def is_cut_off(self, now: float) -> bool:
-        """Whether no control instance that has a leader answered lately."""
+        """Whether no instance that knows a leader has answered recently."""
         if self._answered_at is None:
             return False
         return now - self._answered_at > SILENCE_LIMIT
 
     def tick(self, now: float, vitals: Vitals) -> list[SendToControl]:
-        """Return what to send now; called every ``HEARTBEAT_INTERVAL``."""
+        """Return the messages to send now.
+
+        Parameters
+        ----------
+        now : float
+            Current time in seconds, by the event loop's clock.  Called every
+            ``HEARTBEAT_INTERVAL`` seconds.
+        vitals : Vitals
+            Current state of the process, for its heartbeat.
+
+        Returns
+        -------
+        list of SendToControl
+            The messages.
+        """
         self._vitals = vitals
-        if self._led_at is None:
-            self._led_at = now
+        if self._leader_answered_at is None:
+            self._leader_answered_at = now
             self._answered_at = now
-        said: Announce | Heartbeat = self._announcement
+        message: Announce | Heartbeat = self._announcement
         if self.incarnation:
-            said = self._heartbeat(vitals)
+            message = self._heartbeat(vitals)
         targets = (self.target,)
-        if self._asks_all or now - self._led_at > LEADER_SILENCE:
+        if (
+            self._sends_to_all
+            or now - self._leader_answered_at > LEADER_TIMEOUT
+        ):
             targets = self._control
-        return [SendToControl(target, said) for target in targets]
+        return [SendToControl(target, message) for target in targets]
 
     def on_challenge(
         self, challenge: Challenge, now: float
     ) -> list[SendToControl]:
-        """Repeat the announcement with the leader's challenge."""
-        self._led_at = now
+        """Handle a challenge: repeat the announcement with its number."""
+        self._leader_answered_at = now
         self._answered_at = now
         answer = attrs.evolve(self._announcement, challenge=challenge.challenge)
         return [SendToControl(self.target, answer)]
@@ -125,21 +151,35 @@
     def on_ack(
         self, ack: HeartbeatAck, source: Endpoint, now: float
     ) -> list[SendToControl]:
-        """Note what a control instance answered.
-
-        Only the leader's word on the incarnation counts: a replica that is
-        behind may not have heard of this run yet.
+        """Handle a control instance's answer.
+
+        Only the leader's answer sets the incarnation: a replica that lags
+        behind may not know this run yet.
+
+        Parameters
+        ----------
+        ack : HeartbeatAck
+            The answer.
+        source : Endpoint
+            Endpoint of the control instance that sent it.
+        now : float
+            Current time in seconds, by the event loop's clock.
+
+        Returns
+        -------
+        list of SendToControl
+            Messages to send at once.
         """
         if not ack.leader:
-            # It may be cut off from the others, and answer all the same.
-            self._asks_all = self._asks_all or source == self.target
+            # The instance may be cut off from the others and still answer.
+            self._sends_to_all = self._sends_to_all or source == self.target
             return []
         self._answered_at = now
         former = self._leader
         self._leader = parse_endpoint(ack.leader)
         if self._leader == source:
-            self._led_at = now
-            self._asks_all = False
+            self._leader_answered_at = now
+            self._sends_to_all = False
             self.refusal = ack.reason
             self.incarnation = ack.incarnation
             return []
@@ -147,8 +187,8 @@
             return [SendToControl(self._leader, self._announcement)]
         if self._leader == former:
             return []
-        # The next beat may come after the lease that a new leader gave to a
-        # member that it has not heard yet.
+        # The next regular heartbeat may come after the end of the lease that a
+        # new leader grants to a member from which it has received nothing yet.
         return [SendToControl(self._leader, self._heartbeat(self._vitals))]
 
     def _heartbeat(self, vitals: Vitals) -> Heartbeat:
--- a/redwingstream/membership/leases.py
+++ b/redwingstream/membership/leases.py
@@ -1,7 +1,8 @@
-"""Who of the members is alive, as the leader sees it.
+"""Leases of the members, and the admission of announced processes.
 
-Kept by the leader in memory only.  Times only detect: what must not happen
-twice is fenced by incarnations and view numbers.
+The leader keeps them in memory only.  Leases only detect failures; safety does
+not depend on time, because incarnations and view numbers fence whatever must
+not happen twice.
 """
 
 import random
@@ -11,7 +12,7 @@
 import attrs
 
 from redwingstream.membership.messages import Announce, Heartbeat
-from redwingstream.membership.returns import Returns
+from redwingstream.membership.readmissions import ReadmissionDelays
 from redwingstream.tables.machine.messages import (
     AdmitMember,
     LeaveMember,
@@ -24,45 +25,75 @@
 """Seconds of silence after which a member is removed."""
 
 MAX_CHALLENGES = 8192
-"""Hosts whose challenge is remembered at most; the oldest go first."""
+"""Maximum number of hosts with a stored challenge; the oldest is evicted."""
 
 _CHALLENGE_BITS = 63
-# Part of the lease that may pass between two looks before this process counts
-# as having been stopped itself.
-_PAUSE_SHARE = 0.5
+# Fraction of the lease; a longer time between two checks means that this
+# process itself was stopped.
+_PAUSE_FRACTION = 0.5
 
 
 @attrs.frozen
 class Challenged:
-    """The process has to repeat its announcement with this number."""
+    """The process has to repeat its announcement with this challenge.
+
+    Parameters
+    ----------
+    number : int
+        Random number of the challenge.
+    """
 
     number: int
 
 
 @attrs.frozen
 class AdmissionGranted:
-    """The announcement is good; this command makes it a member."""
+    """The announcement is accepted; this command makes the process a member.
+
+    Parameters
+    ----------
+    command : AdmitMember
+        Command for the replicated state machine.
+    """
 
     command: AdmitMember
 
 
 @attrs.frozen
 class Admitted:
-    """This run is a member already."""
+    """This run is a member already.
+
+    Parameters
+    ----------
+    member : Member
+        Its row in the tables.
+    """
 
     member: Member
 
 
 @attrs.frozen
 class HeldBack:
-    """The host returns too often; seconds until it may."""
+    """The host was admitted too often; it has to wait.
+
+    Parameters
+    ----------
+    seconds : float
+        Seconds until the host may be admitted.
+    """
 
     seconds: float
 
 
 @attrs.frozen
 class NameTaken:
-    """Another process has this host name, and is alive at its endpoint."""
+    """Another process has this host name and is alive.
+
+    Parameters
+    ----------
+    endpoint : str
+        ``IP:PORT`` of that process.
+    """
 
     endpoint: str
 
@@ -82,104 +113,121 @@
 @attrs.define
 class _Report:
     incarnation: int
-    heard_at: float
+    received_at: float
     settled_view: int = 0
 
 
 class Leases:
-    """Leases of the members, for the time that this replica leads.
+    """Leases of the members while this replica is the leader.
 
     Parameters
     ----------
     lease : float
-        Seconds of silence after which a member is removed.
+        Seconds without a heartbeat after which a member is removed.
     rng : random.Random
-        Draws challenges.
+        Source of the challenges.
     now : float
-        When this replica became leader.
+        When this replica became leader, in seconds by the event loop's clock.
     """
 
     def __init__(self, lease: float, rng: random.Random, now: float) -> None:
         self._lease = lease
         self._rng = rng
-        self._since = now
-        self._looked_at = now
-        self._returns = Returns()
+        self._counted_from = now
+        self._last_check_at = now
+        self._readmission_delays = ReadmissionDelays()
         self._report_by_host: dict[str, _Report] = {}
         self._challenge_by_host: OrderedDict[str, _Challenge] = OrderedDict()
 
     def on_announce(
         self, announce: Announce, boot: int, known: Member | None, now: float
     ) -> AnnounceOutcome:
-        """Take an announcement.
+        """Handle an announcement.
 
         Parameters
         ----------
         announce : Announce
-            What the process says of itself.
+            The announcement.
         boot : int
-            Its run, from the frame.
+            Random number of the process's run, from the frame.
         known : Member or None
-            The member of its host's name.
+            The member that has the same host name.
         now : float
-            Seconds.
+            Current time in seconds, by the event loop's clock.
+
+        Returns
+        -------
+        AnnounceOutcome
+            Whether the process is challenged, admitted, delayed or refused.
 
         Notes
         -----
-        Without the challenge an announcement that the network held back
-        could replace the run that came after it: its frame is authentic and
-        was never seen.  A challenge is good once, for one run and for the
-        time of a lease, and the next run's challenge replaces it.
-
-        A restarted process has the endpoint of its former run.  Another one
-        that is alive under the same name was given it by mistake; the two
-        would take each other's place for ever, and move their buckets each
-        time.
+        Without the challenge, an announcement that the network delayed could
+        replace the run that came after it: its frame is authentic and is not a
+        duplicate.  A challenge is valid once, for one run and for the duration
+        of a lease; the challenge of the next run replaces it.
+
+        A restarted process has the endpoint of its former run.  A process at
+        another endpoint whose namesake is alive was given the name by mistake.
+        If both were admitted, they would replace each other without end, and
+        their buckets would move each time.
         """
         if known is not None and known.boot == boot:
-            self._hear(known.host, known.incarnation, now)
+            self._record_sign_of_life(known.host, known.incarnation, now)
             return Admitted(known)
-        if known is not None and self._is_elsewhere(known, announce, now):
+        if known is not None and self._is_alive_elsewhere(known, announce, now):
             return NameTaken(known.endpoint)
         pending = self._challenge_by_host.get(announce.host)
-        if not _is_met(pending, announce, boot, now):
-            return Challenged(self._challenge(announce.host, boot, now))
-        wait = self._returns.wait_of(announce.host, now)
+        if not _answers_challenge(pending, announce, boot, now):
+            return Challenged(self._challenge_number(announce.host, boot, now))
+        wait = self._readmission_delays.admission_delay(announce.host, now)
         if wait > 0:
             return HeldBack(wait)
         self._challenge_by_host.pop(announce.host)
-        self._returns.note(announce.host, now)
-        return AdmissionGranted(_command(announce, boot))
+        self._readmission_delays.record_admission(announce.host, now)
+        return AdmissionGranted(_admit_command(announce, boot))
 
     def on_heartbeat(
         self, beat: Heartbeat, boot: int, known: Member | None, now: float
     ) -> bool:
-        """Take a sign of life; return False when it is of no member's run."""
+        """Handle a heartbeat; return False when its run is no member."""
         if known is None:
             return False
         if known.boot != boot or known.incarnation != beat.incarnation:
             return False
-        report = self._hear(known.host, known.incarnation, now)
+        report = self._record_sign_of_life(known.host, known.incarnation, now)
         report.settled_view = max(report.settled_view, beat.settled_view)
         return True
 
     def due_removals(
         self, members: Iterable[Member], now: float
     ) -> list[RemoveMember]:
-        """Return the removals of members whose lease has run out.
+        """Return the removals of members whose lease has expired.
+
+        Parameters
+        ----------
+        members : iterable of Member
+            All current members.
+        now : float
+            Current time in seconds, by the event loop's clock.
+
+        Returns
+        -------
+        list of RemoveMember
+            Commands for the replicated state machine.
 
         Notes
         -----
-        Three things must not be taken for a member's silence: that this
-        replica has led for less than a lease and could not have heard it;
-        that this process was stopped itself; and that this replica is cut
-        off from every member.  In the last case a removal of all would
-        reach some by other ways and stop traffic that works.
+        In three cases missing heartbeats do not show that a member has failed:
+        this replica has led for less than a lease and may not have received
+        any; this process was stopped itself; or this replica is cut off from
+        every member.  In the last case a removal of all members would reach
+        some of them by other paths and stop traffic that works.
         """
-        paused = now - self._looked_at > self._lease * _PAUSE_SHARE
-        self._looked_at = now
+        paused = now - self._last_check_at > self._lease * _PAUSE_FRACTION
+        self._last_check_at = now
         if paused:
-            self._since = now
+            self._counted_from = now
         silent: list[RemoveMember] = []
         alive = 0
         for member in members:
@@ -192,48 +240,56 @@
     def due_settlements(
         self, views: Iterable[PoolView]
     ) -> Iterator[SettleView]:
-        """Yield the views whose members all hold their buckets."""
+        """Yield settle commands for views whose members have all settled.
+
+        Parameters
+        ----------
+        views : iterable of PoolView
+            The newest view of each pool.
+        """
         for view in views:
             if view.unsettled and view.members and self._all_settled(view):
                 yield SettleView(view.pool, view.number)
 
     def retain_only(self, hosts: Iterable[str]) -> None:
-        """Drop what is known of hosts that are no members any more."""
+        """Drop the leases of all hosts but these, the current members."""
         for host in set(self._report_by_host).difference(hosts):
             self._report_by_host.pop(host)
 
-    def _hear(self, host: str, incarnation: int, now: float) -> _Report:
+    def _record_sign_of_life(
+        self, host: str, incarnation: int, now: float
+    ) -> _Report:
         report = self._report_by_host.get(host)
         if report is None or report.incarnation != incarnation:
             report = _Report(incarnation, now)
             self._report_by_host[host] = report
-        report.heard_at = now
+        report.received_at = now
         return report
 
     def _is_silent(self, member: Member, now: float) -> bool:
         report = self._report_by_host.get(member.host)
         if report is None or report.incarnation != member.incarnation:
-            # Admitted, and not heard since: its lease begins when this is
-            # first seen.
-            self._hear_first(member, now)
+            # The member was admitted and has sent no heartbeat since; its lease
+            # begins at the first check that finds this.
+            self._start_lease(member, now)
             return False
-        return now - max(report.heard_at, self._since) > self._lease
+        return now - max(report.received_at, self._counted_from) > self._lease
 
-    def _is_elsewhere(
+    def _is_alive_elsewhere(
         self, known: Member, announce: Announce, now: float
     ) -> bool:
-        """Whether the member of a name is alive at another endpoint."""
+        """Whether a member is alive at another endpoint than the announced."""
         if known.endpoint == announce.endpoint:
             return False
-        heard_at = self._since
+        received_at = self._counted_from
         report = self._report_by_host.get(known.host)
         if report is not None and report.incarnation == known.incarnation:
-            heard_at = max(heard_at, report.heard_at)
-        return now - heard_at <= self._lease
+            received_at = max(received_at, report.received_at)
+        return now - received_at <= self._lease
 
-    def _hear_first(self, member: Member, now: float) -> None:
-        report = self._hear(member.host, member.incarnation, now)
-        report.heard_at = now
+    def _start_lease(self, member: Member, now: float) -> None:
+        report = self._record_sign_of_life(member.host, member.incarnation, now)
+        report.received_at = now
 
     def _all_settled(self, view: PoolView) -> bool:
         for member in view.members:
@@ -244,7 +300,7 @@
                 return False
         return True
 
-    def _challenge(self, host: str, boot: int, now: float) -> int:
+    def _challenge_number(self, host: str, boot: int, now: float) -> int:
         pending = self._challenge_by_host.get(host)
         same_run = pending is not None and pending.boot == boot
         if same_run and pending.expires_at > now:
@@ -258,7 +314,7 @@
         return number
 
 
-def _is_met(
+def _answers_challenge(
     pending: _Challenge | None, announce: Announce, boot: int, now: float
 ) -> bool:
     if pending is None or pending.boot != boot:
@@ -266,7 +322,7 @@
     return pending.number == announce.challenge and now < pending.expires_at
 
 
-def _command(announce: Announce, boot: int) -> AdmitMember:
+def _admit_command(announce: Announce, boot: int) -> AdmitMember:
     return AdmitMember(
         announce.host,
         announce.role,
@@ -279,7 +335,7 @@
 
 
 def leave_command(member: Member) -> LeaveMember | None:
-    """Return the command that lets a member drain, unless it does."""
+    """Return the command to drain a member; None when it drains already."""
     if member.draining:
         return None
     return LeaveMember(member.host, member.incarnation)
--- a/redwingstream/membership/messages.py
+++ b/redwingstream/membership/messages.py
@@ -1,8 +1,9 @@
-"""How a process announces itself to control and stays known.
+"""Messages for membership: announcements, heartbeats, probes and dumps.
 
-An announcement takes two steps.  The first gets a challenge; only a process
-that is alive now can repeat it.  Without this a first announcement that the
-network held back for long could replace the run that came after it.
+An announcement takes two steps.  The leader answers the first with a challenge;
+only a process that is alive now can repeat the announcement with it.  Without
+the challenge, an announcement that the network delayed for long could replace
+the run that came after it.
 """
 
 from redwingstream.tables.rows import Role
@@ -11,24 +12,24 @@
 
 @message(kind=2)
 class Announce:
-    """A run of a process wants to be a member.
+    """Request of a run of a process to become a member.
 
     Parameters
     ----------
     host : str
         Name of the host or instance.
     role : Role
-        What the process does.
+        Role of the process.
     endpoint : str
         ``IP:PORT`` for frames and calls.
     zone : str
-        Its availability zone.
+        Availability zone of the process.
     pool : str
-        Pool that its backend server serves; empty for a balancer.
+        Pool of its backend server; empty for a balancer.
     weight : int
-        Share relative to other members of the pool.
+        Share of the pool's buckets, relative to other members.
     challenge : int
-        What the leader sent in :class:`Challenge`; 0 at first.
+        Number from the leader's :class:`Challenge`; 0 in the first step.
     """
 
     host: str
@@ -42,12 +43,12 @@
 
 @message(kind=3)
 class Challenge:
-    """The leader's answer to a first announcement.
+    """Answer of the leader to the first step of an announcement.
 
     Parameters
     ----------
     challenge : int
-        Random number that the repeated announcement has to carry.
+        Random number that the second step has to contain.
     """
 
     challenge: int
@@ -55,26 +56,26 @@
 
 @message(kind=4)
 class Heartbeat:
-    """A member is alive.
+    """Sign of life of a member, with its state.
 
     Parameters
     ----------
     host : str
-        Its name.
+        Host name of the member.
     incarnation : int
-        Which run of it.
+        Incarnation of the member.
     revision : int
         Revision of its tables.
     leaving : bool
-        True once it was told to stop and wants to drain.
+        True once the process was told to stop and drains.
     settled_view : int
-        Highest view of its pool in which it holds all its buckets.
+        Highest view of its pool in which it has settled all its buckets.
     in_flight : int
-        Requests that its server is running.
+        Number of requests that its backend server is running.
     flows : int
-        Established feeds that it carries.
+        Number of established feeds that it carries.
     limit : int
-        Requests that its server may run at once.
+        Maximum number of requests that its backend server may run at once.
     """
 
     host: str
@@ -89,16 +90,17 @@
 
 @message(kind=5)
 class HeartbeatAck:
-    """A control instance's answer to an announcement or a heartbeat.
+    """Answer of a control instance to an announcement or a heartbeat.
 
     Parameters
     ----------
     incarnation : int
-        The sender's run as admitted; 0 when it has to announce itself.
+        Incarnation of the process; 0 when it has to announce itself.
     revision : int
         Revision of the control instance's tables.
     leader : str
-        ``IP:PORT`` of the leader as far as it knows; empty when unknown.
+        ``IP:PORT`` of the leader that the control instance knows; empty when
+        it knows none.
     reason : str
         Why a process was not admitted; empty otherwise.
     """
@@ -111,7 +113,7 @@
 
 @message(kind=6)
 class Probe:
-    """Ask a peer on a link that has been silent for a sign of life.
+    """Request for a sign of life from a peer that has not answered.
 
     Parameters
     ----------
@@ -124,7 +126,7 @@
 
 @message(kind=7)
 class ProbeAck:
-    """Answer to :class:`Probe`, sent at once.
+    """Immediate answer to :class:`Probe`.
 
     Parameters
     ----------
@@ -137,11 +139,17 @@
 
 @message(kind=8)
 class DumpRequest:
-    """Ask any process for its state."""
+    """Request for the state of a process."""
 
 
 @message(kind=9)
 class DumpAnswer:
-    """State of a process as JSON text."""
+    """State of a process.
+
+    Parameters
+    ----------
+    text : str
+        The state as JSON.
+    """
 
     text: str
--- a/redwingstream/membership/tests/test_leases.py
+++ b/redwingstream/membership/tests/test_leases.py
@@ -14,7 +14,10 @@
     NameTaken,
 )
 from redwingstream.membership.messages import Announce, Heartbeat
-from redwingstream.membership.returns import QUIET_TIME, Returns
+from redwingstream.membership.readmissions import (
+    HISTORY_TIMEOUT,
+    ReadmissionDelays,
+)
 from redwingstream.tables.machine.messages import RemoveMember, SettleView
 from redwingstream.tables.rows import (
     EarlierView,
@@ -141,11 +144,11 @@
         assert isinstance(outcome, Challenged)
 
     def test_a_quiet_time_forgets_the_past(self) -> None:
-        returns = Returns()
+        returns = ReadmissionDelays()
         for now in range(10):
-            returns.note('h1', now)
-        assert returns.wait_of('h1', 10) > 0
-        assert returns.wait_of('h1', 10 + QUIET_TIME) == 0
+            returns.record_admission('h1', now)
+        assert returns.admission_delay('h1', 10) > 0
+        assert returns.admission_delay('h1', 10 + HISTORY_TIMEOUT) == 0
 
     def test_a_held_back_host_is_told_for_how_long(
         self, leases: Leases
--- a/redwingstream/membership/tests/test_peers.py
+++ b/redwingstream/membership/tests/test_peers.py
@@ -4,7 +4,7 @@
 
 from redwingstream.endpoints import Endpoint
 from redwingstream.membership.peers import (
-    FORGOTTEN_AFTER,
+    UNUSED_TIMEOUT,
     PROBE_AFTER,
     SILENT_AFTER,
     PeerLinks,
@@ -50,5 +50,5 @@
         assert not PeerLinks().is_silent(PEER, 100)
 
     def test_forgets_a_peer_that_is_not_used(self, links: PeerLinks) -> None:
-        assert not links.due_probes(FORGOTTEN_AFTER + 1)
-        assert not links.is_silent(PEER, FORGOTTEN_AFTER + 2)
+        assert not links.due_probes(UNUSED_TIMEOUT + 1)
+        assert not links.is_silent(PEER, UNUSED_TIMEOUT + 2)
--- a/redwingstream/placement/__init__.py
+++ b/redwingstream/placement/__init__.py
@@ -1,21 +1,27 @@
-"""Buckets, their home and heir, and how they move without being lost.
+"""Replicated ownership of buckets: home, heir and takeover between views.
+
+A bucket is a fixed part of a pool's flows.  In each view of the pool one agent,
+the home, owns the bucket; its replica, the heir, acknowledges each record
+before the record takes effect, and is the source of a takeover when the home
+is lost.
 
 Modules
 -------
 rendezvous, views
-    Which bucket a flow belongs to, and which agents hold it in each view.
+    Map flows to buckets, and buckets to home and heir in each view.
 keeper
-    All buckets of a pool at one agent.
-duty, takeover
-    A bucket at its home: heard from earlier pairs, then in effect.
+    State of all buckets of a pool at one agent.
+home_bucket, takeover
+    A bucket at its home: contents are fetched from the pairs of earlier views,
+    then the bucket is in effect.
 outbox, pending, parts
-    Records on their way from home to heir, cut to fit a frame.
+    Replication of records from home to heir, in messages that fit a frame.
 fence
-    A bucket at its heir or an earlier holder.
+    A bucket at its heir or at a home or heir of an earlier view.
 conflicts
-    Records that must not follow what another home has recorded.
+    Detects waiting records that contradict what another home has recorded.
 messages, effects
-    What agents say to each other, and what the keeper asks for.
+    Messages between agents, and actions that the keeper requests.
 retries
-    When an unanswered message is sent again.
+    Back-off for unanswered messages.
 """
--- a/redwingstream/placement/conflicts.py
+++ b/redwingstream/placement/conflicts.py
@@ -1,4 +1,4 @@
-"""Whether contents from another home speak against a record that waits."""
+"""Detects waiting records that contradict what another home has recorded."""
 
 from collections.abc import Callable
 
@@ -6,26 +6,27 @@
 from redwingstream.placement.messages import BucketContents
 from redwingstream.requests.records import RequestState
 
-# A record of one of these states claims that nobody has run the request yet;
-# the other two report the outcome of a run that was recorded before.
+# A record in one of these states claims that no agent has run the request yet.
+# The others report the outcome of a run that was recorded before.
 _FIRST_STATES = frozenset((RequestState.STARTED, RequestState.NOT_RUN))
 
 
 def conflicts_with(
     given: BucketContents,
 ) -> Callable[[BucketContents], bool]:
-    """Return a test for records that must not follow the given contents.
+    """Return a predicate for contents that contradict the given contents.
 
     Parameters
     ----------
     given : BucketContents
-        What one of an earlier pair holds.
+        Contents that the home or heir of another view holds.
 
     Returns
     -------
     callable
-        True for contents that start a request which is already in the given
-        ones, or place a flow that another carrier has there.
+        True for contents that start a request which is already in `given`, or
+        that assign a flow to a carrier although `given` assigns it to another
+        carrier under the same or a later generation.
     """
     request_keys = {entry.key for entry in given.entries}
     flow_by_key = {flow.key: flow for flow in given.flows}
--- a/redwingstream/placement/effects.py
+++ b/redwingstream/placement/effects.py
@@ -1,4 +1,4 @@
-"""What the keeper of buckets asks its owner to do, and what it says of one."""
+"""Effects that a bucket keeper asks its owner to perform, and bucket status."""
 
 import attrs
 
@@ -15,7 +15,7 @@
     endpoint : str
         ``IP:PORT`` of the receiver.
     message : object
-        An instance of a numbered message class.
+        Instance of a class that is declared with ``wire.messages.message``.
     """
 
     endpoint: str
@@ -24,26 +24,33 @@
 
 @attrs.frozen
 class Recorded:
-    """Home and heir hold the record: it may take effect now."""
+    """Home and heir hold the record, which may take effect now.
+
+    Parameters
+    ----------
+    ticket : int
+        What ``BucketKeeper.record`` returned.
+    """
 
     ticket: int
 
 
 @attrs.frozen
 class RecordRefused:
-    """The record must never take effect here.
+    """The record must never take effect at this agent.
 
     Parameters
     ----------
     ticket : int
         What ``BucketKeeper.record`` returned.
     reason : ResultCode
-        ``STALE``: another agent is home, hand the request on to it.
-        ``OUTCOME_UNKNOWN``: another home has recorded the same request, the
-        store says what became of it.  ``RECOVERING``: both of an earlier pair
-        are silent, and they may have run it.  ``TIMED_OUT``: the give-up time
-        came first.  ``OVERLOADED`` and ``MALFORMED``: never sent to the heir,
-        because too many wait or because it is too large.
+        ``STALE``: another agent is home; the request is to be forwarded to it.
+        ``OUTCOME_UNKNOWN``: another home has recorded the same request; its
+        state is in the store.  ``RECOVERING``: neither agent of an earlier
+        pair answers, and they may have run the request.  ``TIMED_OUT``: the
+        record reached its give-up time before the heir acknowledged it.
+        ``OVERLOADED`` and ``MALFORMED``: never sent to the heir, because too
+        many bytes wait already or because the record is too large.
     """
 
     ticket: int
@@ -52,15 +59,15 @@
 
 @attrs.frozen
 class BucketInEffect:
-    """This agent is now home of the bucket in effect.
+    """The takeover of a bucket has ended; this agent decides for it now.
 
     Parameters
     ----------
     bucket : int
-        Which bucket.
+        Number of the bucket.
     lost : tuple of int
-        Earlier views of whose pair nobody answered within the longest replay
-        time; what only these two held is gone.
+        Numbers of earlier views whose home and heir did not answer within the
+        longest replay time; contents that only these two held are lost.
     """
 
     bucket: int
@@ -69,7 +76,13 @@
 
 @attrs.frozen
 class FetchNeeded:
-    """The agent at this endpoint knows of a newer view: fetch the tables."""
+    """Newer tables have to be fetched from an agent that knows a newer view.
+
+    Parameters
+    ----------
+    endpoint : str
+        ``IP:PORT`` of that agent.
+    """
 
     endpoint: str
 
@@ -79,13 +92,14 @@
 
 @attrs.frozen
 class NotHome:
-    """Another agent is home.
+    """Another agent is home of the bucket.
 
     Parameters
     ----------
     home : ViewMember or None
-        Who is; None when the view is empty, or when a newer view than this
-        agent's own has fenced the bucket and its home is not known yet.
+        The home; None when the view is empty, or when the bucket is fenced at
+        a newer view than this agent has applied, whose home it does not know
+        yet.
     """
 
     home: ViewMember | None = None
@@ -93,12 +107,12 @@
 
 @attrs.frozen
 class Taking:
-    """This agent is home and is asking the earlier pairs.
+    """This agent is home and is fetching contents from the earlier pairs.
 
     Parameters
     ----------
     since : float
-        When it started to, in seconds of the caller's clock.
+        When the takeover began, in seconds by the event loop's clock.
     """
 
     since: float
@@ -106,12 +120,12 @@
 
 @attrs.frozen
 class Recovering:
-    """This agent is home, and an earlier pair does not answer.
+    """This agent is home, but neither agent of an earlier pair answers.
 
     Parameters
     ----------
     since : float
-        When it started to ask, in seconds of the caller's clock.
+        When the takeover began, in seconds by the event loop's clock.
     """
 
     since: float
@@ -119,7 +133,7 @@
 
 @attrs.frozen
 class InEffect:
-    """This agent is home and may record and decide."""
+    """This agent is home and may record and decide for the bucket."""
 
 
 BucketStatus = NotHome | Taking | Recovering | InEffect
--- a/redwingstream/placement/fence.py
+++ b/redwingstream/placement/fence.py
@@ -1,9 +1,10 @@
-"""One bucket as an earlier holder or an heir sees it: fenced by view number.
+"""One bucket at an heir or at an agent of an earlier pair, fenced by view.
 
-The fence is the number of the highest view that this agent has adopted or been
-asked under.  It only rises.  A home that was frozen or cut off still believes
-in an older view when it comes back; its heir refuses whatever it wants to
-record, so nothing can take effect there any more, whatever its clock says.
+The fence is the number of the highest view that this agent has applied or
+received a request under.  It only rises.  A home that was frozen or cut off
+still uses an older view when it runs again; its heir refuses all records of
+that view, so that nothing can take effect at that home any more, whatever its
+clock says.
 """
 
 from typing import Protocol
@@ -22,27 +23,37 @@
 
 
 class BucketStore(Protocol):
-    """Where flows and requests of the pool's buckets are remembered.
+    """Storage of the flows and requests in the buckets of a pool.
 
     Notes
     -----
-    ``merge`` must be idempotent and must never go back: a final request state
-    stays, a higher generation of a flow stays.
+    ``merge`` must be idempotent and must not replace newer state by older: a
+    final request state stays, and so does a higher generation of a flow.
     """
 
     def export(self, bucket: int) -> BucketContents:
-        """Return all that is remembered of a bucket."""
+        """Return all contents of a bucket."""
 
     def merge(self, bucket: int, contents: BucketContents) -> None:
-        """Add contents to those that are there."""
+        """Add contents to those of a bucket."""
 
     def drop(self, bucket: int) -> None:
-        """Forget all contents of a bucket."""
+        """Delete all contents of a bucket."""
 
 
 @attrs.frozen
 class _Snapshot:
-    """Contents as they were when a new home first asked under a view."""
+    """Contents at the first request of a new home under a view.
+
+    Parameters
+    ----------
+    view : int
+        Number of the view of the new home.
+    parts : tuple of BucketContents
+        The contents, in parts that fit a frame.
+    covered : tuple of int
+        Numbers of the earlier views whose records the contents include.
+    """
 
     view: int
     parts: tuple[BucketContents, ...]
@@ -50,75 +61,79 @@
 
 
 class FencedBucket:
-    """The fence of a bucket and what hangs on it.
+    """Fence of a bucket, and the requests and records that it guards.
 
     Parameters
     ----------
     bucket : int
-        Which bucket.
-    me : Identity
-        The run of this agent.
+        Number of the bucket.
+    identity : Identity
+        Host and incarnation of this agent.
     store : BucketStore
-        Where the contents are.
+        Storage of the contents.
 
     Attributes
     ----------
     fence : int
         View number; records of older views are refused.
-    heard : set of int
-        Earlier views whose records are all in the store, and whose pair can
-        add none.  At most as many as the adopted view has unsettled ones.
+    complete_views : set of int
+        Numbers of earlier views whose records are all in the store, and under
+        which no further record can be accepted.  At most as many as the
+        applied view has unsettled views.
     """
 
-    def __init__(self, bucket: int, me: Identity, store: BucketStore) -> None:
+    def __init__(
+        self, bucket: int, identity: Identity, store: BucketStore
+    ) -> None:
         self.fence = 0
-        self.heard: set[int] = set()
+        self.complete_views: set[int] = set()
         self._bucket = bucket
-        self._me = me
+        self._identity = identity
         self._store = store
         self._applied_view = 0
         self._applied_ticket = 0
         self._snapshot: _Snapshot | None = None
 
-    def follow(self, pairs: ViewPairs) -> None:
-        """Adopt a newer view: raise the fence, forget what is out of date.
+    def apply_view(self, pairs: ViewPairs) -> None:
+        """Apply a newer view: raise the fence and drop outdated contents.
 
-        What this agent holds from a view that has been settled since is out of
-        date: merged again it would bring back flows that were closed.  Records
-        of this view or a later one, which came before the tables did, are not.
+        Contents from a view that has been settled since are outdated: merged
+        again, they would restore flows that were closed.  Records of this view
+        or a later one, which arrived before the tables did, are kept.
         """
         number = pairs.view.number
-        self._raise_to(number)
-        mine = pairs.earlier_of(self._bucket, self._me)
-        if not mine:
-            self._forget_before(number)
+        self._raise_fence(number)
+        own_views = pairs.earlier_views_with(self._bucket, self._identity)
+        if not own_views:
+            self._drop_older_than(number)
         self._release_snapshot(number)
-        self.heard.intersection_update(pairs.earlier_numbers())
-        # Nothing took effect under those views without this run of the agent,
-        # and its fence is above them now.
-        self.heard.update(mine)
+        self.complete_views.intersection_update(pairs.earlier_numbers())
+        # Nothing took effect under those views without this incarnation of the
+        # agent, and its fence is above them now.
+        self.complete_views.update(own_views)
 
-    def settle(self, pairs: ViewPairs) -> None:
-        """Let go of what the adopted view, now settled, no longer needs."""
+    def apply_settled_view(self, pairs: ViewPairs) -> None:
+        """Drop what is not needed any more once the applied view is settled."""
         following = pairs.view.number + 1
         self._release_snapshot(following)
-        if not self._me.is_in(pairs.newest(self._bucket)):
-            self._forget_before(following)
+        if not self._identity.is_in(pairs.newest_pair(self._bucket)):
+            self._drop_older_than(following)
 
-    def take_record(self, record: Record) -> RecordAck | None:
-        """Remember a record as heir, or refuse it.
+    def handle_record(self, record: Record) -> RecordAck | None:
+        """Store a record as heir, or refuse it.
 
         Returns
         -------
         RecordAck or None
-            None when another run of this agent was meant: that run's fence is
-            not known to this one, and its silence is the truth.
+            None when the record is for another incarnation of this agent: that
+            incarnation's fence is unknown here, so this one must not answer
+            for it.
         """
-        if record.asked_incarnation != self._me.incarnation:
+        if record.asked_incarnation != self._identity.incarnation:
             return None
         accepted = record.view >= self.fence
         if accepted:
-            self._raise_to(record.view)
+            self._raise_fence(record.view)
             self._apply(record)
         return RecordAck(
             pool=record.pool,
@@ -129,16 +144,19 @@
             fence=self.fence,
         )
 
-    def give(self, request: TakeBucket) -> BucketGiven | RecordAck | None:
-        """Fence the bucket and return the part that a new home asks for.
+    def handle_request(
+        self, request: TakeBucket
+    ) -> BucketGiven | RecordAck | None:
+        """Fence the bucket and return the part that a new home requests.
 
         Returns
         -------
         BucketGiven, RecordAck or None
-            A refusal when the asking home is itself out of date; None when
-            another run was meant, which is gone with all that it knew.
+            A refusal when the view of the requesting home is itself outdated;
+            None when the request is for another incarnation of this agent,
+            which has ended and whose contents are lost.
         """
-        if request.asked_incarnation != self._me.incarnation:
+        if request.asked_incarnation != self._identity.incarnation:
             return None
         if request.view < self.fence:
             return RecordAck(
@@ -149,27 +167,28 @@
                 accepted=False,
                 fence=self.fence,
             )
-        self._raise_to(request.view)
+        self._raise_fence(request.view)
         return self._part(request)
 
-    def _raise_to(self, view: int) -> None:
+    def _raise_fence(self, view: int) -> None:
         self.fence = max(self.fence, view)
 
     def _release_snapshot(self, before: int) -> None:
-        # One for a later view stays: its home may have read some parts only.
+        # The snapshot for a later view stays, because the home of that view
+        # may have read only some of its parts.
         if self._snapshot is not None and self._snapshot.view < before:
             self._snapshot = None
 
-    def _forget_before(self, view: int) -> None:
+    def _drop_older_than(self, view: int) -> None:
         if self._applied_view < view:
-            self.heard.clear()
+            self.complete_views.clear()
             self._store.drop(self._bucket)
 
     def _apply(self, record: Record) -> None:
-        # A record that the network delivers late would bring back a flow that
-        # a later record has closed.  The home sends a ticket only after the
-        # one before it was accepted, so a number that is not higher than the
-        # last one applied under the same view has been applied already.
+        # A record that the network delivers late would restore a flow that a
+        # later record has closed.  The home sends a ticket only after the one
+        # before it was accepted, so a ticket that is not higher than the last
+        # one applied under the same view has been applied already.
         if record.view == self._applied_view:
             if record.ticket <= self._applied_ticket:
                 return
@@ -178,13 +197,14 @@
         self._store.merge(self._bucket, record.contents)
 
     def _part(self, request: TakeBucket) -> BucketGiven | None:
-        # Parts cut from contents that change in between could leave an entry
-        # out of all of them.  The first request under a view fixes the parts;
-        # nothing older than that view is accepted after it.  One snapshot is
-        # kept, of the highest view; its items are those of the store.
+        # If the contents were split anew for each request, a change in between
+        # could leave an entry out of all parts.  The first request under a view
+        # therefore fixes the parts; no record of an older view is accepted
+        # after it.  Only the snapshot of the highest view is kept; it holds
+        # references to the items of the store.
         if self._snapshot is None or self._snapshot.view != request.view:
             parts = split(self._store.export(self._bucket))
-            covered = tuple(sorted(self.heard))
+            covered = tuple(sorted(self.complete_views))
             self._snapshot = _Snapshot(request.view, parts, covered)
         kept = self._snapshot
         if not 0 <= request.part < len(kept.parts):
@@ -193,7 +213,7 @@
             pool=request.pool,
             view=request.view,
             bucket=request.bucket,
-            incarnation=self._me.incarnation,
+            incarnation=self._identity.incarnation,
             part=request.part,
             parts=len(kept.parts),
             contents=kept.parts[request.part],
--- a/redwingstream/placement/messages.py
+++ b/redwingstream/placement/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the homes and heirs of buckets."""
+"""Messages between the homes and heirs of buckets, and bucket contents."""
 
 import attrs
 
@@ -9,16 +9,17 @@
 
 @attrs.frozen
 class BucketContents:
-    """What must not be lost when a bucket moves.
+    """State that must not be lost when a bucket moves to another home.
 
     Parameters
     ----------
     entries : tuple of LedgerEntry
         Non-idempotent requests.
     flows : tuple of FlowRecord
-        Established feeds and placements elsewhere.
+        Established feeds, and flows that another agent than the home carries.
     condensed : CondensedRequests
-        Non-idempotent requests without an entry; in the first part only.
+        Filters of non-idempotent requests that have no entry any more; in the
+        first part only.
     """
 
     entries: tuple[LedgerEntry, ...] = ()
@@ -28,7 +29,7 @@
 
 @message(kind=64)
 class Record:
-    """Home asks heir to remember something before it takes effect.
+    """Request of a home to its heir to store contents before they take effect.
 
     Parameters
     ----------
@@ -37,16 +38,16 @@
     view : int
         View under which the sender is home.
     bucket : int
-        Which bucket.
+        Number of the bucket.
     ticket : int
-        Number by which the sender knows the answer; within a view and bucket
-        each new one is higher, and is sent only after the one before it was
-        accepted.
+        Number that the answer repeats; within a view and bucket each new one
+        is higher, and is sent only after the one before it was accepted.
     asked_incarnation : int
-        Run of the heir that is in the view.  A later run at the same address
-        has no fence yet and must not accept for the former one.
+        Incarnation of the heir that is in the view.  A later incarnation at
+        the same address has no fence yet and must not accept for the former
+        one.
     contents : BucketContents
-        What to remember.
+        Contents to store.
     """
 
     pool: str
@@ -59,24 +60,23 @@
 
 @message(kind=65)
 class RecordAck:
-    """The heir has remembered it, or refuses because the view is old.
+    """Answer that contents are stored, or that the sender's view is outdated.
 
     Parameters
     ----------
     pool : str
         Pool of the bucket.
     bucket : int
-        Which bucket.
+        Number of the bucket.
     view : int
-        The view in the message that is answered.  A later run of the same
+        View in the message that is answered.  A later incarnation of the same
         home counts its tickets from 1 again, but under a newer view.
     ticket : int
-        The number in the :class:`Record`; 0 when a :class:`TakeBucket` is
-        refused.
+        Ticket of the :class:`Record`; 0 when a :class:`TakeBucket` is refused.
     accepted : bool
-        False when the asked agent is fenced at a newer view.
+        False when the answering agent is fenced at a newer view.
     fence : int
-        View at which it is fenced.
+        Number of the view at which it is fenced.
     """
 
     pool: str
@@ -89,7 +89,9 @@
 
 @message(kind=66)
 class TakeBucket:
-    """A new home asks one of an earlier pair for a bucket, and fences it.
+    """Request of a new home for the contents of a bucket; fences the receiver.
+
+    The receiver is home or heir of the bucket in an earlier view.
 
     Parameters
     ----------
@@ -98,13 +100,13 @@
     view : int
         View under which the sender is home.
     bucket : int
-        Which bucket.
+        Number of the bucket.
     asked_incarnation : int
-        Run of the asked agent that was in the earlier view; another run of it
-        remembers nothing and must not answer for it.
+        Incarnation of the receiver that was in the earlier view; another
+        incarnation does not have its contents and must not answer for it.
     part : int
-        Which part of the contents is wanted; contents larger than a datagram
-        travel in parts.
+        Index of the requested part, from 0; contents larger than a datagram
+        are sent in parts.
     """
 
     pool: str
@@ -116,7 +118,7 @@
 
 @message(kind=67)
 class BucketGiven:
-    """Contents of a bucket for its new home.
+    """Part of the contents of a bucket, for its new home.
 
     Parameters
     ----------
@@ -125,16 +127,16 @@
     view : int
         View of the :class:`TakeBucket` that is answered.
     bucket : int
-        Which bucket.
+        Number of the bucket.
     incarnation : int
-        Run of the agent that answers.
+        Incarnation of the answering agent.
     part, parts : int
-        Which part this is, and how many there are.
+        Index of this part, from 0, and number of parts.
     contents : BucketContents
-        The part.
+        Contents of the part.
     covered : tuple of int
-        Earlier views whose pairs the answering agent has itself heard, so
-        that these contents include theirs.
+        Numbers of the earlier views whose contents the answering agent has
+        itself received in full, so that these contents include them.
     """
 
     pool: str
--- a/redwingstream/placement/outbox.py
+++ b/redwingstream/placement/outbox.py
@@ -1,4 +1,4 @@
-"""Records of one bucket on their way from home to heir."""
+"""Replication of the records of one bucket from its home to its heir."""
 
 import itertools
 from collections import deque
@@ -13,9 +13,9 @@
     PART_BYTES,
     RECORD_BYTES,
     Item,
-    contents_of,
-    items_of,
-    take_part,
+    items_to_contents,
+    contents_to_items,
+    pop_items,
 )
 from redwingstream.placement.pending import PendingRecord, PendingRecords
 from redwingstream.placement.retries import Backoff, RetryTiming
@@ -25,18 +25,18 @@
 
 @attrs.frozen
 class HeirLink:
-    """To whom, and under which view, a home sends its records.
+    """Heir to which a home sends the records of a bucket, and their view.
 
     Parameters
     ----------
     pool : str
         Name of the pool.
     bucket : int
-        Which bucket.
+        Number of the bucket.
     view : int
         View under which the sender is home.
     heir : ViewMember
-        Who acknowledges.
+        The agent that acknowledges the records.
     """
 
     pool: str
@@ -46,8 +46,22 @@
 
 
 @attrs.frozen
-class _Flight:
-    """The one message that is waiting for its acknowledgement."""
+class _InFlight:
+    """The message that waits for its acknowledgement.
+
+    Parameters
+    ----------
+    send : Send
+        Effect that sends the message.
+    ticket : int
+        Ticket of the message.
+    pending : tuple of int
+        Tickets of the waiting records in the message.
+    closed : frozenset of FlowKey
+        Flows that the message closes.
+    backoff : Backoff
+        When the message is sent again.
+    """
 
     send: Send
     ticket: int
@@ -69,13 +83,14 @@
     synced : bool
         Whether the heir has acknowledged all contents of the bucket.
     pending : PendingRecords
-        What waits to be sent or acknowledged.
+        Records that wait to be sent or acknowledged.
 
     Notes
     -----
-    One message in flight keeps the heir's copy in order and bounds what is
-    under way; whatever comes meanwhile goes together in the next message, so
-    a bucket's throughput is 24000 bytes of new records a round trip.
+    A single message in flight keeps the heir's copy in order and bounds the
+    bytes in flight.  Records that arrive meanwhile are sent together in the
+    next message, so that a bucket's throughput is 24000 bytes of new records
+    per round trip.
     """
 
     def __init__(self, timing: RetryTiming) -> None:
@@ -85,68 +100,68 @@
         self._tickets: Iterator[int] = itertools.count(1)
         self._unsynced: deque[Item] | None = None
         self._condensed = CondensedRequests()
-        self._flight: _Flight | None = None
+        self._in_flight: _InFlight | None = None
 
     def restart(self) -> None:
-        """Forget the message in flight: the view or the heir has changed.
+        """Drop the message in flight because the view or the heir has changed.
 
-        What waits stays and is sent again; an acknowledgement that comes for
-        the old message finds no match.
+        Waiting records stay and are sent again; an acknowledgement of the old
+        message is ignored.
         """
-        self._flight = None
+        self._in_flight = None
         self._unsynced = None
         self.synced = False
 
     def begin_sync(self, contents: BucketContents) -> None:
-        """Let the heir have these contents, beside what is recorded."""
-        self._unsynced = items_of(contents)
+        """Start to send existing contents to the heir, beside new records."""
+        self._unsynced = contents_to_items(contents)
         self._condensed = contents.condensed
 
-    def accept_all(self) -> list[PendingRecord]:
-        """Remove and return all that waits: there is no heir to ask."""
+    def pop_all(self) -> list[PendingRecord]:
+        """Remove and return all waiting records, for a view without an heir."""
         self.synced = True
         return self.pending.pop_all()
 
     def due_sends(self, link: HeirLink, now: float) -> list[Effect]:
         """Return the message to send, or send again, at this time."""
-        if self._flight is None:
-            self._flight = self._compose(link)
-        flight = self._flight
-        if flight is None or not flight.backoff.take(now):
+        if self._in_flight is None:
+            self._in_flight = self._compose(link)
+        flight = self._in_flight
+        if flight is None or not flight.backoff.start_if_due(now):
             return []
         return [flight.send]
 
-    def acknowledge(self, ack: RecordAck) -> list[PendingRecord]:
-        """Take the heir's answer and return the records that it accepted.
+    def handle_ack(self, ack: RecordAck) -> list[PendingRecord]:
+        """Handle the heir's answer and return the records that it accepted.
 
-        Those that were given up in the meantime are not among them.
+        Records that have reached their give-up time are not among them.
         """
-        flight = self._flight
+        flight = self._in_flight
         if flight is None or ack.ticket != flight.ticket or not ack.accepted:
             return []
-        self._flight = None
+        self._in_flight = None
         self._condensed = CondensedRequests()
-        self._forget_closed(flight.closed)
+        self._drop_closed(flight.closed)
         if self._unsynced is not None and not self._unsynced:
             self.synced = True
         found = map(self.pending.pop, flight.pending)
         return [record for record in found if record is not None]
 
-    def idle(self) -> bool:
-        """Whether nothing waits and the heir has everything."""
+    def is_idle(self) -> bool:
+        """Whether no record waits and the heir holds all contents."""
         return self.synced and not self.pending
 
-    def _compose(self, link: HeirLink) -> _Flight | None:
-        pending = self.pending.first(RECORD_BYTES)
+    def _compose(self, link: HeirLink) -> _InFlight | None:
+        pending = self.pending.first_fitting(RECORD_BYTES)
         syncing = self._unsynced is not None and not self.synced
         if not pending and not syncing:
             return None
         room = PART_BYTES - sum(each.size for each in pending)
-        chosen = take_part(self._unsynced, room) if self._unsynced else []
-        # Older contents stand before new records, so that a flow that is
-        # closed by a record of the same message ends up closed.
+        chosen = pop_items(self._unsynced, room) if self._unsynced else []
+        # Older contents precede new records, so that a flow that is closed by
+        # a record of the same message stays closed at the heir.
         for recorded in pending:
-            chosen.extend(items_of(recorded.contents))
+            chosen.extend(contents_to_items(recorded.contents))
         record = Record(
             pool=link.pool,
             view=link.view,
@@ -154,10 +169,10 @@
             ticket=next(self._tickets),
             asked_incarnation=link.heir.incarnation,
             contents=attrs.evolve(
-                contents_of(chosen), condensed=self._condensed
+                items_to_contents(chosen), condensed=self._condensed
             ),
         )
-        return _Flight(
+        return _InFlight(
             send=Send(link.heir.endpoint, record),
             ticket=record.ticket,
             pending=tuple(each.ticket for each in pending),
@@ -165,9 +180,9 @@
             backoff=Backoff(self._timing),
         )
 
-    def _forget_closed(self, closed: frozenset[FlowKey]) -> None:
-        # The contents to hand over were read before the flow was closed; sent
-        # after the closing they would open it again at the heir.
+    def _drop_closed(self, closed: frozenset[FlowKey]) -> None:
+        # The contents to send were read before the flow was closed; sent after
+        # the record that closes it, they would open it again at the heir.
         if closed and self._unsynced:
             self._unsynced = deque(
                 each
--- a/redwingstream/placement/parts.py
+++ b/redwingstream/placement/parts.py
@@ -1,4 +1,4 @@
-"""Contents of a bucket cut into parts that fit a frame."""
+"""Splits the contents of a bucket into parts that fit a frame."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -10,10 +10,11 @@
 from redwingstream.placement.messages import BucketContents
 from redwingstream.requests.records import LedgerEntry, RequestState
 
-# A frame takes 60000 bytes; the rest of the message needs a few hundred.
+# Bytes of contents in a message.  A frame holds at most 60000 bytes; the rest
+# of the message needs a few hundred.
 PART_BYTES = 48000
-# Half a part, so that a full load of new records leaves room for handing over
-# the old ones, and an item never fills more than one part.
+# Bytes of new records in a message.  Half a part, so that a message full of new
+# records leaves room for existing contents, and an item always fits a part.
 RECORD_BYTES = 24000
 
 Item = LedgerEntry | FlowRecord
@@ -21,19 +22,19 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-def size_of(payload: object) -> int:
-    """Return the bytes that an item or contents take in a frame."""
+def encoded_size(payload: object) -> int:
+    """Return the number of bytes of an item or of contents in a frame."""
     return len(_encoder.encode(payload))
 
 
-def items_of(contents: BucketContents) -> deque[Item]:
-    """Return entries and flows in one queue, none above the allowed size."""
+def contents_to_items(contents: BucketContents) -> deque[Item]:
+    """Return entries and flows in one queue, each limited in size."""
     both: tuple[Item, ...] = contents.entries + contents.flows
-    return deque(_within_bounds(each) for each in both)
+    return deque(_limit_size(each) for each in both)
 
 
-def contents_of(chosen: Iterable[Item]) -> BucketContents:
-    """Put items back into contents, in their order."""
+def items_to_contents(chosen: Iterable[Item]) -> BucketContents:
+    """Return contents with these items, in their order."""
     entries = []
     flows = []
     for each in chosen:
@@ -44,24 +45,24 @@
     return BucketContents(tuple(entries), tuple(flows))
 
 
-def take_part(waiting: deque[Item], room: int) -> list[Item]:
-    """Remove from a queue what fits.
+def pop_items(waiting: deque[Item], room: int) -> list[Item]:
+    """Remove and return the first items that fit.
 
     Parameters
     ----------
-    waiting : deque
-        Items; what is returned is removed from its left end.
+    waiting : deque of Item
+        Queue from whose left end the items are removed.
     room : int
         Bytes that the items may take together.
 
     Returns
     -------
-    list
-        The items.
+    list of Item
+        The removed items.
     """
     chosen: list[Item] = []
     while waiting:
-        room -= size_of(waiting[0])
+        room -= encoded_size(waiting[0])
         if room < 0:
             break
         chosen.append(waiting.popleft())
@@ -69,21 +70,23 @@
 
 
 def split(contents: BucketContents) -> tuple[BucketContents, ...]:
-    """Cut contents into parts of at most 48000 bytes, at least one."""
-    waiting = items_of(contents)
-    first = contents_of(take_part(waiting, PART_BYTES))
-    # Two filters of 4096 bytes, beside the part: still within a datagram.
+    """Split contents into one or more parts of at most 48000 bytes."""
+    waiting = contents_to_items(contents)
+    first = items_to_contents(pop_items(waiting, PART_BYTES))
+    # The condensed requests are two filters of 4096 bytes; together with a
+    # part they still fit a datagram.
     parts = [attrs.evolve(first, condensed=contents.condensed)]
     while waiting:
-        parts.append(contents_of(take_part(waiting, PART_BYTES)))
+        parts.append(items_to_contents(pop_items(waiting, PART_BYTES)))
     return tuple(parts)
 
 
-def _within_bounds(item: Item) -> Item:
-    # An item that fits no part would stop the handoff of its bucket for good:
-    # the new home would ask for ever.  It loses its long field instead; a
-    # request whose answer cannot travel is *unknown*, never run again.
-    if size_of(item) <= RECORD_BYTES:
+def _limit_size(item: Item) -> Item:
+    # An item that fits no part would block the takeover of its bucket for
+    # good: the new home would repeat its request without end.  The item loses
+    # its longest field instead; a request whose answer is too large to send
+    # becomes *unknown* and is never run again.
+    if encoded_size(item) <= RECORD_BYTES:
         return item
     if isinstance(item, LedgerEntry):
         return attrs.evolve(item, state=RequestState.UNKNOWN, answer=b'')
--- a/redwingstream/placement/rendezvous.py
+++ b/redwingstream/placement/rendezvous.py
@@ -1,9 +1,10 @@
-"""Which bucket a flow belongs to, and which agents hold that bucket.
+"""Maps flows to buckets, and buckets to home and heir, by weighted hashing.
 
-Every process computes both from the same view, so only members travel and no
-table of buckets does.  Weighted rendezvous hashing moves the least possible:
-a member that comes takes only the buckets that it wins, a member that goes
-gives up only its own, and a changed weight moves only what the change is worth.
+Every process computes both from the same view, so that only the members of a
+view are sent and no table of buckets is.  Weighted rendezvous hashing moves
+the fewest buckets possible: a new member takes only the buckets in which it has
+the highest score, a member that leaves loses only its own, and a changed weight
+moves only a number of buckets in proportion to the change.
 """
 
 import hashlib
@@ -16,7 +17,7 @@
 from redwingstream.tables.rows import PoolView, ViewMember
 
 _DIGEST_BYTES = 8
-# Of a 64-bit hash as many bits are kept as a float holds exactly.
+# As many bits of the 64-bit hash are used as a float represents exactly.
 _HASH_BITS = 64
 _FRACTION_BITS = 52
 _DROPPED_BITS = _HASH_BITS - _FRACTION_BITS
@@ -25,21 +26,23 @@
 
 @attrs.frozen
 class Pair:
-    """The two agents that hold a bucket.
+    """The two agents that hold a bucket in a view.
 
     Parameters
     ----------
     home : ViewMember or None
-        Decides on the bucket's flows and requests; None in an empty view.
+        Owner of the bucket, which decides on its flows and requests; None in
+        an empty view.
     heir : ViewMember or None
-        Acknowledges what the home records; None in a view of one member.
+        Replica, which acknowledges each record of the home; None in a view of
+        one member.
     """
 
     home: ViewMember | None = None
     heir: ViewMember | None = None
 
     def members(self) -> tuple[ViewMember, ...]:
-        """Return home and heir, as far as there are any."""
+        """Return home and heir, without those that are None."""
         return tuple(
             member for member in (self.home, self.heir) if member is not None
         )
@@ -51,18 +54,18 @@
     Parameters
     ----------
     caller, service : str
-        ``IP:PORT`` of both ends.
+        ``IP:PORT`` of both ends of the flow.
     buckets : int
-        How many buckets the pool has; a power of two.
+        Number of buckets of the pool; a power of two.
     key : bytes
-        Up to 64 secret bytes, the same in the whole fleet.  Without the key
-        callers could choose ports that all fall into one bucket and so load
-        one server on purpose.
+        Secret key of up to 64 bytes, the same in the whole fleet.  Without it
+        callers could choose ports whose flows all fall into one bucket, and so
+        overload one backend server on purpose.
 
     Returns
     -------
     int
-        0 to ``buckets - 1``.
+        Number of the bucket, 0 to ``buckets - 1``.
     """
     digest = hashlib.blake2b(
         f'{caller}|{service}'.encode(), key=key, digest_size=_DIGEST_BYTES
@@ -76,18 +79,19 @@
     Parameters
     ----------
     members : tuple of ViewMember
-        Any order gives the same pair.
+        Members of the view; their order does not matter.
     pool : str
         Name of the pool; pools with the same hosts get different pairs.
     bucket : int
-        Which bucket.
+        Number of the bucket.
 
     Returns
     -------
     Pair
-        The home has the highest score.  The heir has the next one among
-        members of other availability zones than the home's, so that losing a
-        zone never loses both; among all others when there is no such member.
+        The home is the member with the highest score.  The heir has the next
+        highest score among members of other availability zones than the
+        home's, so that the loss of a zone never loses both; among all other
+        members when no other zone has one.
     """
     if not members:
         return Pair()
@@ -109,20 +113,20 @@
     Parameters
     ----------
     members : tuple of ViewMember
-        Who is in the view.
+        Members of the view.
     pool : str
         Name of the pool.
 
     Notes
     -----
-    Buckets with the same home and heir share one pair: a balancer holds the
-    tables of thousands of pools.
+    Buckets with the same home and heir share one :class:`Pair` to save memory,
+    as a balancer holds the tables of thousands of pools.
     """
 
     def __init__(self, members: tuple[ViewMember, ...], pool: str) -> None:
         self._members = members
         self._pool = pool
-        # By bucket; a list takes a quarter of the memory of a map.
+        # Indexed by bucket; a list takes a quarter of the memory of a dict.
         self._pairs: list[Pair | None] = []
         self._shared_by_pair: dict[Pair, Pair] = {}
 
@@ -145,10 +149,11 @@
 
 
 def _score(member: ViewMember, salt: bytes) -> float:
-    # -w / ln(u) with u uniform in (0, 1): the chance to have the highest score
-    # is proportional to the weight.  The incarnation stays out of the hash, so
-    # that an agent that restarts gets its buckets back.  52 bits and a half
-    # keep u exact and strictly between 0 and 1, where the logarithm is not 0.
-    drawn = xxhash.xxh3_64_intdigest(member.host.encode() + salt)
-    drawn >>= _DROPPED_BITS
-    return -member.weight / math.log((drawn + 0.5) / _FRACTION_SPAN)
+    # -w / ln(u) with u uniform in (0, 1): the probability of the highest score
+    # is proportional to the weight.  The incarnation is not part of the hash,
+    # so that an agent that restarts gets its buckets back.  52 bits plus one
+    # half keep u exact and strictly between 0 and 1, where the logarithm is
+    # defined and not 0.
+    hashed = xxhash.xxh3_64_intdigest(member.host.encode() + salt)
+    hashed >>= _DROPPED_BITS
+    return -member.weight / math.log((hashed + 0.5) / _FRACTION_SPAN)
--- a/redwingstream/placement/retries.py
+++ b/redwingstream/placement/retries.py
@@ -1,47 +1,47 @@
-"""When an unanswered message is sent again."""
+"""Exponential back-off for unanswered messages between agents."""
 
 import attrs
 
 
 @attrs.frozen
 class RetryTiming:
-    """How often to repeat, and when silence counts as a loss.
+    """Pauses between retries, and when an unanswered takeover is recovering.
 
     Parameters
     ----------
-    first : float
-        Seconds from the first sending to the second; several round trips
+    first_pause : float
+        Seconds between the first and the second attempt; several round trips
         between availability zones (1 ms one way).
-    longest : float
-        Seconds that the growing pause never exceeds.
-    patience : float
-        Seconds for which an earlier pair may be silent before its bucket is
-        called recovering.
+    max_pause : float
+        Longest pause in seconds.
+    recovering_after : float
+        Seconds without an answer from an earlier pair after which its bucket
+        is recovering.
     """
 
-    first: float = 0.02
-    longest: float = 0.5
-    patience: float = 1
+    first_pause: float = 0.02
+    max_pause: float = 0.5
+    recovering_after: float = 1
 
 
 class Backoff:
-    """Pauses that double from the first to the longest.
+    """Retry pauses that double from the first to the longest.
 
     Parameters
     ----------
     timing : RetryTiming
-        Both bounds.
+        First and longest pause.
     """
 
     def __init__(self, timing: RetryTiming) -> None:
-        self._longest = timing.longest
-        self._pause = timing.first
-        self._due = -float('inf')
+        self._max_pause = timing.max_pause
+        self._pause = timing.first_pause
+        self._due_at = -float('inf')
 
-    def take(self, now: float) -> bool:
-        """Return whether to send now; if so, set the time of the next one."""
-        if now < self._due:
+    def start_if_due(self, now: float) -> bool:
+        """Return whether an attempt is due; if so, schedule the next one."""
+        if now < self._due_at:
             return False
-        self._due = now + self._pause
-        self._pause = min(self._pause * 2, self._longest)
+        self._due_at = now + self._pause
+        self._pause = min(self._pause * 2, self._max_pause)
         return True
--- a/redwingstream/placement/tests/fakes.py
+++ b/redwingstream/placement/tests/fakes.py
@@ -203,7 +203,7 @@
         if self.cut.isdisjoint((source, send.endpoint)):
             self._hand_over(source, send)
 
-    def take_held(self, kind: type) -> list[tuple[str, Send]]:
+    def pop_held(self, kind: type) -> list[tuple[str, Send]]:
         """Remove and return the queued messages of a class."""
         found = [
             each for each in self.held if isinstance(each[1].message, kind)
--- a/redwingstream/placement/tests/model.py
+++ b/redwingstream/placement/tests/model.py
@@ -34,7 +34,7 @@
     {'a': 'carse', 'b': 'carse', 'c': 'fife-north', 'd': 'strathmore'}
 )
 BUCKETS = 1
-PATIENCE_OF_CALLERS = 60.0
+CALLER_TIMEOUT = 60.0
 TICK = 0.25
 # Two entries fill a part, so that handoffs take several.
 ENTRY_BYTES = 20000
@@ -56,7 +56,7 @@
 
 
 @attrs.define
-class Letter:
+class MessageInTransit:
     """A message on its way."""
 
     source: str
@@ -180,7 +180,7 @@
 
     def __init__(self) -> None:
         self.now: float = 0
-        self.in_transit: list[Letter] = []
+        self.in_transit: list[MessageInTransit] = []
         self.partitioned: set[str] = set()
         self.run_by_host: dict[str, Run] = {}
         self.control = FakeControl()
@@ -279,7 +279,7 @@
             )
         }
 
-    def is_held(self, letter: Letter) -> bool:
+    def is_held(self, letter: MessageInTransit) -> bool:
         """Whether a message cannot arrive now."""
         if self.run_by_host[letter.send.endpoint].frozen:
             return True
@@ -290,7 +290,7 @@
         if contents in run.contents_by_ticket.values():
             return
         ticket, effects = run.agent.keeper.record(
-            bucket, contents, self.now, self.now + PATIENCE_OF_CALLERS
+            bucket, contents, self.now, self.now + CALLER_TIMEOUT
         )
         run.contents_by_ticket[ticket] = contents
         self._carry_out(run, effects)
@@ -299,7 +299,9 @@
         for effect in effects:
             match effect:
                 case Send():
-                    self.in_transit.append(Letter(run.agent.me.host, effect))
+                    self.in_transit.append(
+                        MessageInTransit(run.agent.me.host, effect)
+                    )
                 case Recorded(ticket):
                     contents = run.contents_by_ticket.pop(ticket)
                     self.account.take_effect(contents)
--- a/redwingstream/placement/tests/test_recording.py
+++ b/redwingstream/placement/tests/test_recording.py
@@ -87,7 +87,7 @@
         net = network()
         net.apply_view(view_with_pair(2, HOST_C, HOST_B, after=FIRST), 'c')
         net.record('c', started(7))
-        assert not net.take_held(Record)
+        assert not net.pop_held(Record)
 
     def test_gives_up_at_its_time(self) -> None:
         net = network()
--- a/redwingstream/placement/tests/test_takeover.py
+++ b/redwingstream/placement/tests/test_takeover.py
@@ -20,7 +20,7 @@
     RecordAck,
     TakeBucket,
 )
-from redwingstream.placement.parts import PART_BYTES, size_of, split
+from redwingstream.placement.parts import PART_BYTES, encoded_size, split
 from redwingstream.placement.tests.fakes import (
     HORIZON,
     Network,
@@ -88,7 +88,7 @@
         """
         net = network()
         net.record('a', started(7))
-        net.take_held(Record)
+        net.pop_held(Record)
         second = view_with_pair(2, HOST_C, HOST_B, after=FIRST)
         net.apply_view(second, 'b', 'c')
         net.run(1)
@@ -109,7 +109,7 @@
         """
         net = network()
         net.record('a', started(7))
-        net.take_held(Record)
+        net.pop_held(Record)
         second = view_with_pair(2, HOST_C, HOST_A, after=FIRST)
         net.cut = {'b'}
         net.apply_view(second, 'c')
@@ -132,7 +132,7 @@
         """
         net = network()
         net.record('a', started(7))
-        late = net.take_held(Record)
+        late = net.pop_held(Record)
         net.cut = {'b'}
         net.apply_view(view_with_pair(2, HOST_C, HOST_D, after=FIRST), 'c')
         net.run(1)
@@ -359,7 +359,7 @@
         net = network()
         second = view_with_pair(2, HOST_C, HOST_B, after=FIRST)
         net.apply_view(second, 'c')
-        late = net.take_held(TakeBucket)
+        late = net.pop_held(TakeBucket)
         net.apply_view(
             view_with_pair(3, HOST_A, HOST_B, after=second), 'a', 'b'
         )
@@ -375,5 +375,5 @@
             started(key, bytes(9000)).entries[0] for key in range(30)
         )
         parts = split(BucketContents(entries))
-        assert max(map(size_of, parts)) <= PART_BYTES + 64
+        assert max(map(encoded_size, parts)) <= PART_BYTES + 64
         assert sum((part.entries for part in parts), ()) == entries
--- a/redwingstream/placement/views.py
+++ b/redwingstream/placement/views.py
@@ -1,4 +1,4 @@
-"""Home and heir of each bucket in a view and in those not yet settled."""
+"""Home and heir of each bucket in a view and in its unsettled earlier views."""
 
 import attrs
 
@@ -8,39 +8,40 @@
 
 @attrs.frozen
 class Identity:
-    """One run of an agent.
+    """One admitted run of an agent.
 
     Parameters
     ----------
     host : str
         Name of its host.
     incarnation : int
-        Which run; another run of the same host remembers nothing of this one.
+        Incarnation of the agent; another incarnation of the same host has none
+        of the contents of this one.
     """
 
     host: str
     incarnation: int
 
     def is_run_of(self, member: ViewMember | None) -> bool:
-        """Whether a member of a view is this run."""
+        """Whether a member of a view is this incarnation."""
         if member is None or member.host != self.host:
             return False
         return member.incarnation == self.incarnation
 
     def is_in(self, pair: Pair) -> bool:
-        """Whether this run is home or heir."""
+        """Whether this incarnation is home or heir."""
         return self.is_run_of(pair.home) or self.is_run_of(pair.heir)
 
 
 class ViewPairs:
-    """The pairs of a committed view and of its unsettled earlier views.
+    """Pairs of home and heir in a committed view and its unsettled views.
 
     Parameters
     ----------
     view : PoolView
         The committed view.
     former : ViewPairs, optional
-        Those of the view before; tables that it has are not computed again.
+        Pairs of the view before; its tables are reused where views coincide.
     """
 
     def __init__(
@@ -59,25 +60,25 @@
         }
 
     def table_by_number(self) -> dict[int, PairTable]:
-        """Return the tables of all views that are known here."""
+        """Return the tables of the view and its unsettled views by number."""
         return {**self._earlier_by_number, self.view.number: self._newest}
 
-    def newest(self, bucket: int) -> Pair:
-        """Return home and heir of a bucket in the view itself."""
+    def newest_pair(self, bucket: int) -> Pair:
+        """Return home and heir of a bucket in the committed view."""
         return self._newest.pair(bucket)
 
-    def earlier(self, bucket: int) -> dict[int, Pair]:
-        """Return the bucket's pairs in the unsettled views by number."""
+    def earlier_pairs(self, bucket: int) -> dict[int, Pair]:
+        """Return the bucket's pairs in the unsettled views, by view number."""
         return {
             number: table.pair(bucket)
             for number, table in self._earlier_by_number.items()
         }
 
-    def earlier_of(self, bucket: int, run: Identity) -> set[int]:
-        """Return the unsettled views in which a run is home or heir."""
+    def earlier_views_with(self, bucket: int, run: Identity) -> set[int]:
+        """Return the numbers of unsettled views with a run as home or heir."""
         return {
             number
-            for number, pair in self.earlier(bucket).items()
+            for number, pair in self.earlier_pairs(bucket).items()
             if run.is_in(pair)
         }
 
@@ -85,11 +86,11 @@
         """Return the numbers of the unsettled views."""
         return frozenset(self._earlier_by_number)
 
-    def living(self, pair: Pair) -> tuple[ViewMember, ...]:
-        """Return those of a pair whose run is not known to have ended.
+    def possibly_alive(self, pair: Pair) -> tuple[ViewMember, ...]:
+        """Return the members of a pair that are not known to have ended.
 
-        A member of the view with a later incarnation of the same host shows
-        that the former run is gone.
+        An incarnation has ended when the committed view has a later incarnation
+        of the same host.
         """
         return tuple(
             member
