--- a/redwingstream/membership/announcer.py
+++ b/redwingstream/membership/announcer.py
@@ -175,7 +175,7 @@
             self._sends_to_all = self._sends_to_all or source == self.target
             return []
         self._answered_at = now
-        former = self._leader
+        former_leader = self._leader
         self._leader = parse_endpoint(ack.leader)
         if self._leader == source:
             self._leader_answered_at = now
@@ -185,7 +185,7 @@
             return []
         if not self.incarnation:
             return [SendToControl(self._leader, self._announcement)]
-        if self._leader == former:
+        if self._leader == former_leader:
             return []
         # The next regular heartbeat may come after the end of the lease that a
         # new leader grants to a member from which it has received nothing yet.
--- a/redwingstream/membership/checks.py
+++ b/redwingstream/membership/checks.py
@@ -19,7 +19,7 @@
     longest = max(map(len, texts))
     if longest > MAX_NAME_LENGTH or not announce.host:
         return (
-            f'a name has {longest} characters; at most {MAX_NAME_LENGTH} are '
+            f'a name has {longest} characters; {MAX_NAME_LENGTH} are '
             'allowed, and the host name needs at least one'
         )
     if not 0 < announce.weight <= MAX_WEIGHT:
--- a/redwingstream/membership/leases.py
+++ b/redwingstream/membership/leases.py
@@ -22,7 +22,7 @@
 from redwingstream.tables.rows import Member, PoolView
 
 DEFAULT_LEASE = 3.0
-"""Seconds of silence after which a member is removed."""
+"""Seconds without a heartbeat after which a member is removed."""
 
 MAX_CHALLENGES = 8192
 """Maximum number of hosts with a stored challenge; the oldest is evicted."""
@@ -105,13 +105,17 @@
 
 @attrs.frozen
 class _Challenge:
+    """Challenge of a host that has announced itself once."""
+
     number: int
     boot: int
     expires_at: float
 
 
 @attrs.define
-class _Report:
+class _MemberState:
+    """What the heartbeats of one incarnation of a member have reported."""
+
     incarnation: int
     received_at: float
     settled_view: int = 0
@@ -133,10 +137,11 @@
     def __init__(self, lease: float, rng: random.Random, now: float) -> None:
         self._lease = lease
         self._rng = rng
+        # Silence of members before this time does not count.
         self._counted_from = now
         self._last_check_at = now
         self._readmission_delays = ReadmissionDelays()
-        self._report_by_host: dict[str, _Report] = {}
+        self._state_by_host: dict[str, _MemberState] = {}
         self._challenge_by_host: OrderedDict[str, _Challenge] = OrderedDict()
 
     def on_announce(
@@ -180,9 +185,9 @@
         pending = self._challenge_by_host.get(announce.host)
         if not _answers_challenge(pending, announce, boot, now):
             return Challenged(self._challenge_number(announce.host, boot, now))
-        wait = self._readmission_delays.admission_delay(announce.host, now)
-        if wait > 0:
-            return HeldBack(wait)
+        delay = self._readmission_delays.admission_delay(announce.host, now)
+        if delay > 0:
+            return HeldBack(delay)
         self._challenge_by_host.pop(announce.host)
         self._readmission_delays.record_admission(announce.host, now)
         return AdmissionGranted(_admit_command(announce, boot))
@@ -195,8 +200,8 @@
             return False
         if known.boot != boot or known.incarnation != beat.incarnation:
             return False
-        report = self._record_sign_of_life(known.host, known.incarnation, now)
-        report.settled_view = max(report.settled_view, beat.settled_view)
+        state = self._record_sign_of_life(known.host, known.incarnation, now)
+        state.settled_view = max(state.settled_view, beat.settled_view)
         return True
 
     def due_removals(
@@ -253,27 +258,27 @@
 
     def retain_only(self, hosts: Iterable[str]) -> None:
         """Drop the leases of all hosts but these, the current members."""
-        for host in set(self._report_by_host).difference(hosts):
-            self._report_by_host.pop(host)
+        for host in set(self._state_by_host).difference(hosts):
+            self._state_by_host.pop(host)
 
     def _record_sign_of_life(
         self, host: str, incarnation: int, now: float
-    ) -> _Report:
-        report = self._report_by_host.get(host)
-        if report is None or report.incarnation != incarnation:
-            report = _Report(incarnation, now)
-            self._report_by_host[host] = report
-        report.received_at = now
-        return report
+    ) -> _MemberState:
+        state = self._state_by_host.get(host)
+        if state is None or state.incarnation != incarnation:
+            state = _MemberState(incarnation, now)
+            self._state_by_host[host] = state
+        state.received_at = now
+        return state
 
     def _is_silent(self, member: Member, now: float) -> bool:
-        report = self._report_by_host.get(member.host)
-        if report is None or report.incarnation != member.incarnation:
+        state = self._state_by_host.get(member.host)
+        if state is None or state.incarnation != member.incarnation:
             # The member was admitted and has sent no heartbeat since; its lease
             # begins at the first check that finds this.
             self._start_lease(member, now)
             return False
-        return now - max(report.received_at, self._counted_from) > self._lease
+        return now - max(state.received_at, self._counted_from) > self._lease
 
     def _is_alive_elsewhere(
         self, known: Member, announce: Announce, now: float
@@ -282,21 +287,21 @@
         if known.endpoint == announce.endpoint:
             return False
         received_at = self._counted_from
-        report = self._report_by_host.get(known.host)
-        if report is not None and report.incarnation == known.incarnation:
-            received_at = max(received_at, report.received_at)
+        state = self._state_by_host.get(known.host)
+        if state is not None and state.incarnation == known.incarnation:
+            received_at = max(received_at, state.received_at)
         return now - received_at <= self._lease
 
     def _start_lease(self, member: Member, now: float) -> None:
-        report = self._record_sign_of_life(member.host, member.incarnation, now)
-        report.received_at = now
+        state = self._record_sign_of_life(member.host, member.incarnation, now)
+        state.received_at = now
 
     def _all_settled(self, view: PoolView) -> bool:
         for member in view.members:
-            report = self._report_by_host.get(member.host)
-            if report is None or report.incarnation != member.incarnation:
+            state = self._state_by_host.get(member.host)
+            if state is None or state.incarnation != member.incarnation:
                 return False
-            if report.settled_view < view.number:
+            if state.settled_view < view.number:
                 return False
         return True
 
--- a/redwingstream/membership/readmissions.py
+++ b/redwingstream/membership/readmissions.py
@@ -22,6 +22,8 @@
 
 @attrs.define
 class _History:
+    """Number of readmissions of a host, and when it was last admitted."""
+
     readmissions: int
     last_admitted_at: float
 
--- a/redwingstream/membership/tests/test_announcer.py
+++ b/redwingstream/membership/tests/test_announcer.py
@@ -1,4 +1,4 @@
-"""How a process becomes a member and stays one."""
+"""Announcements and heartbeats of a process."""
 
 import attrs
 import pytest
@@ -30,7 +30,7 @@
 
 
 def ack(incarnation: int, leader: Endpoint | None) -> HeartbeatAck:
-    """Return what a control instance answers."""
+    """Return the answer of a control instance."""
     text = '' if leader is None else str(leader)
     return HeartbeatAck(incarnation, 1, text)
 
@@ -50,7 +50,7 @@
 
 
 class TestAnnouncer:
-    """From the first word to steady heartbeats."""
+    """A process announces itself, is admitted and sends heartbeats."""
 
     def test_announces_itself_until_admitted(
         self, announcer: Announcer
@@ -74,11 +74,11 @@
     def test_a_follower_does_not_undo_the_membership(
         self, announcer: Announcer
     ) -> None:
-        """A replica that is behind makes a member announce itself again.
+        """A replica that lags behind would make a member announce itself again.
 
-        A leader admits the process and fails.  The process asks a follower
-        that has not applied the entry yet; it says incarnation 0.  If that
-        counted, every change of leader would cost a wave of announcements.
+        A leader admits the process and fails.  A follower that has not applied
+        the entry yet answers with incarnation 0.  If that counted, every
+        change of leader would cause all members to announce themselves.
         """
         announcer.on_ack(ack(7, CONTROL[0]), CONTROL[0], 0)
         announcer.on_ack(ack(0, CONTROL[2]), CONTROL[1], 1)
@@ -94,11 +94,11 @@
     def test_leaves_a_leader_that_has_gone_silent(
         self, announcer: Announcer
     ) -> None:
-        """A leader cut off without a word drags its members out of the view.
+        """A healthy member would be removed from the view.
 
-        The link to the leader goes silent; the others elect a new one.  The
-        member goes on sending heartbeats to the old one, its lease ends, and
-        its buckets move although it is well.
+        The link to the leader fails, and the other instances elect a new
+        leader.  If the member sent its heartbeats only to the old one, its
+        lease would end and its buckets would move.
         """
         announcer.tick(0, Vitals(0))
         announcer.on_ack(ack(7, CONTROL[0]), CONTROL[0], 0)
@@ -108,14 +108,14 @@
         announcer.on_ack(ack(7, CONTROL[2]), CONTROL[2], 2)
         assert_sends(announcer.tick(3, Vitals(0)), CONTROL[2], Heartbeat)
 
-    def test_a_follower_that_names_a_dead_leader_is_no_sign_of_life(
+    def test_a_follower_that_names_a_dead_leader_does_not_count(
         self, announcer: Announcer
     ) -> None:
-        """A member drops out of the view when the leader is frozen.
+        """A healthy member would be removed when the leader is frozen.
 
         The followers answer its heartbeats and still name the frozen leader.
-        Taken for a sign of life that sent it back there, again and again,
-        until the new leader had removed it.
+        If that counted as the leader's answer, the member would return to it
+        again and again until the new leader removed the member.
         """
         announcer.tick(0, Vitals(0))
         announcer.on_ack(ack(7, CONTROL[0]), CONTROL[0], 0)
@@ -124,28 +124,28 @@
         sends = announcer.tick(3, Vitals(0))
         assert [send.endpoint for send in sends] == list(CONTROL)
 
-    def test_does_not_try_the_silent_leader_next(
+    def test_does_not_wait_for_the_silent_leader_again(
         self, announcer: Announcer
     ) -> None:
-        """Healthy servers lose their buckets after a leader was frozen.
+        """A healthy member would lose its buckets when the leader is frozen.
 
-        The leader is the second instance of the settings.  The member counts
-        on from the first one, comes to the frozen leader again and waits for
-        it a second time, longer than its lease.
+        The leader is the second instance of the settings.  If the member tried
+        the instances in turn, from the first one, it would come to the frozen
+        leader again and wait for it a second time, longer than its lease.
         """
         announcer.tick(0, Vitals(0))
         announcer.on_ack(ack(7, CONTROL[1]), CONTROL[1], 0)
         sends = announcer.tick(SILENCE_LIMIT + 1, Vitals(0))
         assert [send.endpoint for send in sends] == list(CONTROL)
 
-    def test_speaks_at_once_to_a_leader_that_it_hears_of(
+    def test_sends_a_heartbeat_at_once_to_a_newly_named_leader(
         self, announcer: Announcer
     ) -> None:
-        """Healthy servers lose their buckets after a leader was frozen.
+        """A healthy member would lose its buckets when the leader is frozen.
 
-        A member notices the silence after 2.5 s, at its next beat, and asks a
-        follower.  That one names the new leader, whose lease for a member that
-        it has never heard ended before the beat after.
+        The member detects the silence after 2.5 s, at its next heartbeat, and
+        a follower names the new leader.  The lease that the new leader grants
+        to a member without a heartbeat ends before the heartbeat after that.
         """
         announcer.tick(0, Vitals(0))
         announcer.on_ack(ack(7, CONTROL[0]), CONTROL[0], 0)
@@ -159,12 +159,12 @@
     def test_leaves_a_control_instance_that_knows_no_leader(
         self, announcer: Announcer
     ) -> None:
-        """Every server drops out of its pool while one instance is cut off.
+        """All members would be removed while one instance is cut off.
 
-        A partition cuts the first control instance off from the other two,
-        but not from the members.  It steps down and answers each heartbeat
-        without a leader; the others elect one, which hears of no member, as
-        an answer of any kind counted as a sign of a working control group.
+        A partition cuts the first control instance off from the other two, but
+        not from the members.  It steps down and answers each heartbeat without
+        a leader.  If that counted as an answer, the new leader of the others
+        would receive no heartbeat.
         """
         announcer.tick(0, Vitals(0))
         announcer.on_ack(ack(7, CONTROL[0]), CONTROL[0], 0)
@@ -178,11 +178,11 @@
     def test_is_cut_off_while_nobody_knows_a_leader(
         self, announcer: Announcer
     ) -> None:
-        """A zone taken out goes on being served by a balancer.
+        """A balancer would go on sending to a zone that was taken out.
 
-        The only control instance that it reaches is cut off from the others.
-        It answers, so that the balancer does not ask its peers, which know
-        of the zone.
+        The only control instance that it reaches is cut off from the others
+        and still answers.  If that counted, the balancer would not fetch newer
+        tables from its peers.
         """
         announcer.on_ack(ack(7, CONTROL[0]), CONTROL[0], 0)
         now = float()
--- a/redwingstream/membership/tests/test_leases.py
+++ b/redwingstream/membership/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Announcements, leases and returns."""
+"""Announcements, leases and delayed readmissions."""
 
 import random
 
@@ -6,8 +6,8 @@
 import pytest
 
 from redwingstream.membership.leases import (
-    Admitted,
     AdmissionGranted,
+    Admitted,
     Challenged,
     HeldBack,
     Leases,
@@ -42,19 +42,22 @@
 
 @pytest.fixture
 def leases() -> Leases:
-    """Leases of a replica that leads since 100 s."""
+    """Return leases of a replica that became leader at 100 s."""
     return Leases(LEASE, random.Random(0), now=100)
 
 
 def announce(leases: Leases, boot: int, now: float) -> object:
-    """Announce a run in two steps."""
+    """Announce a run in two steps and return the second outcome."""
     outcome = leases.on_announce(ANNOUNCE, boot, None, now)
     repeated = attrs.evolve(ANNOUNCE, challenge=outcome.number)
     return leases.on_announce(repeated, boot, None, now)
 
 
 def run_until(leases: Leases, end: float, alive: tuple[Member, ...]) -> list:
-    """Look every 0.1 s from 100 s on while some members send heartbeats."""
+    """Return the removals, checked every 0.1 s from 100 s on.
+
+    The members in `alive` send a heartbeat before each check.
+    """
     removals = []
     for step in range(int((end - 100) * 10) + 1):
         now = 100 + step / 10
@@ -66,7 +69,7 @@
 
 
 class TestAnnouncing:
-    """Only a run that is alive now becomes a member."""
+    """Only a run that is alive at the time becomes a member."""
 
     def test_takes_two_steps(self, leases: Leases) -> None:
         outcome = announce(leases, boot=7, now=101)
@@ -80,10 +83,11 @@
     def test_a_late_announcement_does_not_replace_the_next_run(
         self, leases: Leases
     ) -> None:
-        """Packets would go to a run that has ended.
+        """Packets would be sent to a run that has ended.
 
-        The network holds back the second step of a run; its server restarts
-        and the next run asks for its challenge.  Then the old one arrives.
+        The network delays the second announcement of a run.  The process
+        restarts, and the next run requests its challenge.  Then the delayed
+        announcement arrives.
         """
         old = leases.on_announce(ANNOUNCE, 7, None, 101)
         leases.on_announce(ANNOUNCE, 8, None, 101.5)
@@ -91,20 +95,22 @@
         outcome = leases.on_announce(late, 7, None, 102)
         assert isinstance(outcome, Challenged)
 
-    def test_a_challenge_is_good_for_a_lease(self, leases: Leases) -> None:
+    def test_a_challenge_expires_after_a_lease(self, leases: Leases) -> None:
         old = leases.on_announce(ANNOUNCE, 7, None, 101)
         late = attrs.evolve(ANNOUNCE, challenge=old.number)
         outcome = leases.on_announce(late, 7, None, 101 + LEASE)
         assert isinstance(outcome, Challenged)
 
-    def test_a_member_is_told_so(self, leases: Leases) -> None:
+    def test_a_run_that_is_a_member_needs_no_challenge(
+        self, leases: Leases
+    ) -> None:
         assert leases.on_announce(ANNOUNCE, 1, ONE, 101) == Admitted(ONE)
 
     def test_a_flapping_host_waits_longer_each_time(self) -> None:
-        """Healthy servers would get and lose load every few seconds.
+        """The load of healthy servers would change every few seconds.
 
-        A process starts and dies again and again; each return moves buckets
-        of its pool there and back.
+        A process starts and dies repeatedly; each time buckets of its pool
+        move to it and back.
         """
         leases = Leases(LEASE, random.Random(0), now=0)
         now: float = 0
@@ -120,11 +126,11 @@
         assert max(gaps) == 120
 
     def test_a_name_in_use_is_not_taken_over(self, leases: Leases) -> None:
-        """All feeds of two servers break again and again.
+        """All feeds of two servers would break again and again.
 
-        A second process is set up with the name of another one.  Each took
-        the other's place, whose next heartbeat was refused, so that it took
-        the place back; nothing told the operators of the name.
+        A second process is configured with the host name of another one.  If
+        each replaced the other, the other's next heartbeat would be refused
+        and it would announce itself again; operators would not be told.
         """
         beat = Heartbeat(ONE.host, ONE.incarnation, 0)
         leases.on_heartbeat(beat, ONE.boot, ONE, 110)
@@ -143,14 +149,14 @@
         outcome = leases.on_announce(moved, 7, ONE, 110.1 + LEASE)
         assert isinstance(outcome, Challenged)
 
-    def test_a_quiet_time_forgets_the_past(self) -> None:
+    def test_history_expires(self) -> None:
         returns = ReadmissionDelays()
         for now in range(10):
             returns.record_admission('h1', now)
         assert returns.admission_delay('h1', 10) > 0
         assert returns.admission_delay('h1', 10 + HISTORY_TIMEOUT) == 0
 
-    def test_a_held_back_host_is_told_for_how_long(
+    def test_a_delayed_host_is_told_the_remaining_seconds(
         self, leases: Leases
     ) -> None:
         for boot in range(3):
@@ -159,7 +165,7 @@
 
 
 class TestExpiry:
-    """Silence is told apart from this replica's own trouble."""
+    """A silent member is distinguished from faults of this replica."""
 
     def test_removes_a_silent_member(self, leases: Leases) -> None:
         assert set(run_until(leases, 104, alive=(TWO,))) == {
@@ -171,17 +177,18 @@
     ) -> None:
         """All feeds would break after each change of leader.
 
-        A new leader has heard nobody yet; it must not take that for silence.
+        A new leader has received no heartbeat yet, which does not mean that
+        the members are silent.
         """
         assert run_until(leases, 103, alive=(TWO,)) == []
 
     def test_keeps_members_after_it_was_stopped_itself(
         self, leases: Leases
     ) -> None:
-        """A single control instance would drop all servers after a pause.
+        """A single control instance would remove all members after a pause.
 
-        It is stopped for a minute; its clock shows a minute of silence of
-        everybody, although all kept sending.
+        The instance is stopped for a minute.  By its clock all members were
+        silent for that minute, although all kept sending heartbeats.
         """
         run_until(leases, 110, alive=(ONE, TWO))
         assert leases.due_removals((ONE, TWO), 170) == []
@@ -189,10 +196,10 @@
         leases.on_heartbeat(beat, TWO.boot, TWO, 170.1)
         assert leases.due_removals((ONE, TWO), 170.2) == []
 
-    def test_keeps_members_when_nobody_is_heard(self, leases: Leases) -> None:
-        """Traffic that works would stop because control is cut off.
+    def test_keeps_members_when_all_are_silent(self, leases: Leases) -> None:
+        """Working traffic would stop because the leader is cut off.
 
-        The leader hears no member at all: its own link is cut.
+        The leader's own link fails, so that it receives no heartbeat at all.
         """
         assert run_until(leases, 130, alive=()) == []
 
@@ -206,7 +213,7 @@
 
 
 class TestSettling:
-    """A view is settled when each of its members says so."""
+    """A view is settled when each of its members has reported it settled."""
 
     def test_waits_for_every_member(self, leases: Leases) -> None:
         members = tuple(
--- a/redwingstream/membership/tests/test_peers.py
+++ b/redwingstream/membership/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Links that go silent are probed, then avoided."""
+"""A peer that does not answer is probed, then counts as silent."""
 
 import pytest
 
@@ -23,23 +23,25 @@
 
 
 class TestPeerLinks:
-    """One peer that answers or does not."""
+    """Links to a single peer."""
 
-    def test_probes_a_peer_that_has_not_reacted(self, links: PeerLinks) -> None:
+    def test_probes_a_peer_that_has_not_answered(
+        self, links: PeerLinks
+    ) -> None:
         assert not links.due_probes(PROBE_AFTER - LATER)
         assert links.due_probes(PROBE_AFTER + LATER) == [PEER]
 
-    def test_does_not_probe_at_every_look(self, links: PeerLinks) -> None:
+    def test_does_not_probe_at_every_check(self, links: PeerLinks) -> None:
         links.due_probes(PROBE_AFTER + LATER)
         assert not links.due_probes(PROBE_AFTER + 2 * LATER)
 
-    def test_a_silent_peer_is_avoided_until_it_is_heard(
+    def test_a_peer_is_silent_until_it_is_heard_from(
         self, links: PeerLinks
     ) -> None:
-        """A dead home swallows a caller's packets until its lease ends.
+        """Packets to a dead home would be lost until its lease ends.
 
-        The home is killed; control removes it three seconds later.  Until then
-        every balancer would go on sending to it.
+        The home is killed, and control removes it three seconds later.  Until
+        then every balancer would go on sending to it.
         """
         assert not links.is_silent(PEER, SILENT_AFTER - LATER)
         assert links.is_silent(PEER, SILENT_AFTER + LATER)
@@ -49,6 +51,6 @@
     def test_an_idle_peer_is_not_silent(self) -> None:
         assert not PeerLinks().is_silent(PEER, 100)
 
-    def test_forgets_a_peer_that_is_not_used(self, links: PeerLinks) -> None:
+    def test_evicts_an_unused_link(self, links: PeerLinks) -> None:
         assert not links.due_probes(UNUSED_TIMEOUT + 1)
         assert not links.is_silent(PEER, UNUSED_TIMEOUT + 2)
--- a/redwingstream/placement/fence.py
+++ b/redwingstream/placement/fence.py
@@ -114,10 +114,10 @@
 
     def apply_settled_view(self, pairs: ViewPairs) -> None:
         """Drop what is not needed any more once the applied view is settled."""
-        following = pairs.view.number + 1
-        self._release_snapshot(following)
+        next_number = pairs.view.number + 1
+        self._release_snapshot(next_number)
         if not self._identity.is_in(pairs.newest_pair(self._bucket)):
-            self._drop_older_than(following)
+            self._drop_older_than(next_number)
 
     def handle_record(self, record: Record) -> RecordAck | None:
         """Store a record as heir, or refuse it.
--- a/redwingstream/placement/home_bucket.py
+++ b/redwingstream/placement/home_bucket.py
@@ -46,7 +46,7 @@
     pair : Pair
         Home of the bucket, which is this agent, and its heir.
     assigned_at : float
-        When this agent applied the view, in seconds.
+        When this agent applied the view, in seconds by the event loop's clock.
     heir_has_all : bool
         Whether this incarnation of the heir has acknowledged all contents
         already, under the view before.
@@ -86,13 +86,13 @@
 
     def __init__(
         self,
-        term: HomeAssignment,
+        assignment: HomeAssignment,
         takeover: Takeover,
         outbox: Outbox,
         fenced: FencedBucket,
         store: BucketStore,
     ) -> None:
-        self.assignment = term
+        self.assignment = assignment
         self.takeover = takeover
         self.outbox = outbox
         self._fenced = fenced
--- a/redwingstream/placement/keeper.py
+++ b/redwingstream/placement/keeper.py
@@ -77,7 +77,7 @@
         self._identity = Identity(host, incarnation)
         self._pool = pool
         self._store = store
-        self._horizon = replay_horizon
+        self._replay_horizon = replay_horizon
         self._timing = RetryTiming()
         self._pairs = ViewPairs(PoolView(pool, number=0, members=()))
         self._fenced_by_bucket = {
@@ -178,7 +178,7 @@
             later, names the ticket: :class:`Recorded` or
             :class:`RecordRefused`.
         """
-        latest = min(give_up_at, now + self._horizon)
+        latest = min(give_up_at, now + self._replay_horizon)
         pending = make_pending_record(next(self._tickets), contents, latest)
         home_bucket = self._home_by_bucket.get(bucket)
         reason = _refusal_reason(home_bucket, pending, now)
@@ -242,7 +242,7 @@
         fenced = self._fenced_by_bucket[bucket]
         takeover = self._make_takeover(bucket, former, now)
         pair = self._pairs.newest_pair(bucket)
-        term = HomeAssignment(
+        assignment = HomeAssignment(
             pool=self._pool,
             view=self._pairs.view.number,
             bucket=bucket,
@@ -253,7 +253,7 @@
         )
         outbox = Outbox(self._timing) if former is None else former.outbox
         outbox.restart()
-        return HomeBucket(term, takeover, outbox, fenced, self._store)
+        return HomeBucket(assignment, takeover, outbox, fenced, self._store)
 
     def _make_takeover(
         self, bucket: int, former: HomeBucket | None, now: float
@@ -278,7 +278,7 @@
             request=request,
             earlier=earlier,
             complete_views=self._fenced_by_bucket[bucket].complete_views,
-            replay_horizon=self._horizon,
+            replay_horizon=self._replay_horizon,
             timing=self._timing,
             now=now,
         )
--- a/redwingstream/placement/outbox.py
+++ b/redwingstream/placement/outbox.py
@@ -13,8 +13,8 @@
     PART_BYTES,
     RECORD_BYTES,
     Item,
-    items_to_contents,
     contents_to_items,
+    items_to_contents,
     pop_items,
 )
 from redwingstream.placement.pending import PendingRecord, PendingRecords
@@ -76,7 +76,7 @@
     Parameters
     ----------
     timing : RetryTiming
-        Pauses between repeats.
+        Pauses between retries.
 
     Attributes
     ----------
@@ -126,25 +126,29 @@
         """Return the message to send, or send again, at this time."""
         if self._in_flight is None:
             self._in_flight = self._compose(link)
-        flight = self._in_flight
-        if flight is None or not flight.backoff.start_if_due(now):
+        in_flight = self._in_flight
+        if in_flight is None or not in_flight.backoff.start_if_due(now):
             return []
-        return [flight.send]
+        return [in_flight.send]
 
     def handle_ack(self, ack: RecordAck) -> list[PendingRecord]:
         """Handle the heir's answer and return the records that it accepted.
 
         Records that have reached their give-up time are not among them.
         """
-        flight = self._in_flight
-        if flight is None or ack.ticket != flight.ticket or not ack.accepted:
+        in_flight = self._in_flight
+        if (
+            in_flight is None
+            or ack.ticket != in_flight.ticket
+            or not ack.accepted
+        ):
             return []
         self._in_flight = None
         self._condensed = CondensedRequests()
-        self._drop_closed(flight.closed)
+        self._drop_closed(in_flight.closed)
         if self._unsynced is not None and not self._unsynced:
             self.synced = True
-        found = map(self.pending.pop, flight.pending)
+        found = map(self.pending.pop, in_flight.pending)
         return [record for record in found if record is not None]
 
     def is_idle(self) -> bool:
--- a/redwingstream/placement/takeover.py
+++ b/redwingstream/placement/takeover.py
@@ -81,7 +81,7 @@
         self._request = request
         self._earlier_by_number = {each.number: each for each in earlier}
         self._complete_views = complete_views
-        self._horizon = replay_horizon
+        self._replay_horizon = replay_horizon
         self._timing = timing
         self._asking_seconds: float = 0
         self._last_check_at = now
@@ -134,7 +134,7 @@
         self._asking_seconds += max(pause, 0)
         self._last_check_at = now
         for each in () if self.is_outdated else self._incomplete():
-            if self.silent_seconds(each.number) >= self._horizon:
+            if self.silent_seconds(each.number) >= self._replay_horizon:
                 self.lost += (each.number,)
                 self._complete_views.add(each.number)
 
@@ -159,14 +159,14 @@
     def handle_part(self, given: BucketGiven) -> list[Effect]:
         """Record an expected part and return the request for the next one."""
         member = self._pending_by_incarnation()[given.incarnation]
-        following = given.part + 1
-        self._next_part_by_incarnation[given.incarnation] = following
-        if following < given.parts:
+        next_part = given.part + 1
+        self._next_part_by_incarnation[given.incarnation] = next_part
+        if next_part < given.parts:
             return [self._request_to(member)]
         self._complete_views.update(
             each.number
             for each in self._incomplete()
-            if _has_run(each.members, member.incarnation)
+            if _has_incarnation(each.members, member.incarnation)
         )
         self._complete_views.update(
             self._earlier_by_number.keys() & given.covered
@@ -188,14 +188,14 @@
         }
 
     def _request_to(self, member: ViewMember) -> Send:
-        run = member.incarnation
+        incarnation = member.incarnation
         request = attrs.evolve(
             self._request,
-            asked_incarnation=run,
-            part=self._next_part_by_incarnation.get(run, 0),
+            asked_incarnation=incarnation,
+            part=self._next_part_by_incarnation.get(incarnation, 0),
         )
         return Send(member.endpoint, request)
 
 
-def _has_run(members: tuple[ViewMember, ...], incarnation: int) -> bool:
+def _has_incarnation(members: tuple[ViewMember, ...], incarnation: int) -> bool:
     return any(member.incarnation == incarnation for member in members)
--- a/redwingstream/placement/tests/__init__.py
+++ b/redwingstream/placement/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of placement, handoff and recording."""
+"""Tests of placement, takeover and replication of buckets."""
--- a/redwingstream/placement/tests/fakes.py
+++ b/redwingstream/placement/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A store in memory and keepers joined by a network that tests control."""
+"""An in-memory store, and keepers on a simulated network."""
 
 import attrs
 
@@ -34,7 +34,7 @@
 def view(
     number: int, *members: ViewMember, after: PoolView | None = None
 ) -> PoolView:
-    """Return a view; it follows another one that is not yet settled."""
+    """Return a view; if `after` is given, that view is still unsettled."""
     unsettled: tuple[EarlierView, ...] = ()
     if after is not None:
         former = EarlierView(after.number, after.members)
@@ -55,7 +55,7 @@
 
 
 def started(message_id: int, answer: bytes = b'') -> BucketContents:
-    """Return contents with one request that may have run."""
+    """Return contents with one request in the state STARTED."""
     key = RequestKey('10.0.0.1:4000', '10.9.0.1:5683', message_id, b't')
     entry = LedgerEntry(key, b'sum', RequestState.STARTED, answer)
     return BucketContents(entries=(entry,))
@@ -69,7 +69,7 @@
 
 @attrs.define
 class MemoryStore:
-    """Contents by bucket and key; first states never replace final ones."""
+    """Contents by bucket and key; STARTED never replaces a final state."""
 
     entries_by_bucket: dict[int, dict[RequestKey, LedgerEntry]] = attrs.field(
         factory=dict
@@ -79,14 +79,14 @@
     )
 
     def export(self, bucket: int) -> BucketContents:
-        """Return everything of a bucket."""
+        """Return all contents of a bucket."""
         return BucketContents(
             tuple(self.entries_by_bucket.get(bucket, {}).values()),
             tuple(self.flows_by_bucket.get(bucket, {}).values()),
         )
 
     def merge(self, bucket: int, contents: BucketContents) -> None:
-        """Add what is new; a closed flow is removed."""
+        """Add new contents; remove closed flows."""
         entry_by_key = self.entries_by_bucket.setdefault(bucket, {})
         for entry in contents.entries:
             known = entry_by_key.get(entry.key)
@@ -99,19 +99,19 @@
             else:
                 flow_by_key[record.key] = record
 
-    def forget(self, key: RequestKey) -> None:
-        """Lose one request of bucket 0."""
+    def delete_request(self, key: RequestKey) -> None:
+        """Delete one request of bucket 0."""
         self.entries_by_bucket[0].pop(key)
 
     def drop(self, bucket: int) -> None:
-        """Forget a bucket."""
+        """Delete all contents of a bucket."""
         self.entries_by_bucket.pop(bucket, None)
         self.flows_by_bucket.pop(bucket, None)
 
 
 @attrs.define
 class Agent:
-    """A keeper, its store and what it has asked for so far."""
+    """A keeper, its store and the effects that it has returned so far."""
 
     me: ViewMember
     buckets: int = 1
@@ -120,7 +120,7 @@
     done: list[Effect] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        """Start the keeper of this run."""
+        """Create the keeper of this incarnation."""
         self.keeper = BucketKeeper(
             self.me.host,
             self.me.incarnation,
@@ -133,7 +133,7 @@
 
 @attrs.define
 class Network:
-    """Carries messages between agents, in order, unless a host is cut off."""
+    """Delivers messages between agents in order, unless a host is cut off."""
 
     agent_by_host: dict[str, Agent] = attrs.field(factory=dict)
     cut: set[str] = attrs.field(factory=set)
@@ -141,7 +141,7 @@
     now: float = 0
 
     def join(self, me: ViewMember, buckets: int = 1) -> Agent:
-        """Start a run of an agent; it replaces a former one of its host."""
+        """Start an agent; it replaces the former one of its host."""
         agent = Agent(me, buckets)
         self.agent_by_host[me.host] = agent
         return agent
@@ -151,14 +151,14 @@
         return [host for host in self.agent_by_host if host not in self.cut]
 
     def carry_out(self, agent: Agent, effects: list[Effect]) -> None:
-        """Note effects and queue what they send."""
+        """Store effects and queue the messages that they send."""
         agent.done.extend(effects)
         for effect in effects:
             if isinstance(effect, Send):
                 self.held.append((agent.me.endpoint, effect))
 
     def apply_view(self, committed: PoolView, *hosts: str) -> None:
-        """Let hosts, or all that are not cut off, adopt a view."""
+        """Apply a view at these hosts, or at all that are not cut off."""
         for host in hosts or self.running():
             agent = self.agent_by_host[host]
             self.carry_out(agent, agent.keeper.apply_view(committed, self.now))
@@ -166,14 +166,14 @@
     def record(
         self, host: str, contents: BucketContents, give_up_at: float = NEVER
     ) -> int:
-        """Record in bucket 0 and return the ticket."""
+        """Record contents in bucket 0 and return the ticket."""
         agent = self.agent_by_host[host]
         ticket, effects = agent.keeper.record(0, contents, self.now, give_up_at)
         self.carry_out(agent, effects)
         return ticket
 
     def results(self, host: str) -> list[Effect]:
-        """Return what a host's records have come to."""
+        """Return the outcomes of a host's records."""
         return [
             effect
             for effect in self.agent_by_host[host].done
@@ -181,11 +181,11 @@
         ]
 
     def status(self, host: str) -> BucketStatus:
-        """Return how far a host is with bucket 0."""
+        """Return the status of bucket 0 at a host."""
         return self.agent_by_host[host].keeper.status(0)
 
     def holds(self, host: str) -> BucketContents:
-        """Return what a host remembers of bucket 0."""
+        """Return the contents of bucket 0 at a host."""
         return self.agent_by_host[host].store.export(0)
 
     def sent_by(self, host: str, kind: type) -> list:
@@ -198,7 +198,7 @@
         return [each for each in sent if isinstance(each, kind)]
 
     def hand_over_first(self) -> None:
-        """Deliver the oldest message alone."""
+        """Deliver only the oldest message."""
         source, send = self.held.pop(0)
         if self.cut.isdisjoint((source, send.endpoint)):
             self._hand_over(source, send)
@@ -212,12 +212,12 @@
         return found
 
     def deliver(self) -> None:
-        """Deliver everything, and what follows from it."""
+        """Deliver all messages, including those sent in reply."""
         while self.held:
             self.hand_over_first()
 
     def run(self, seconds: float, step: float = 0.05) -> None:
-        """Let time pass for every agent that is not cut off."""
+        """Advance time in steps for every agent that is not cut off."""
         end = self.now + seconds
         while self.now < end:
             self.now += step
--- a/redwingstream/placement/tests/model.py
+++ b/redwingstream/placement/tests/model.py
@@ -1,8 +1,8 @@
-"""A small control and agents that fail, for one pool and a few buckets.
+"""Model of control and of failing agents, for one pool and a few buckets.
 
-The model keeps the account that no single process has: how often each request
-ran, which flows were accepted, and in which buckets both of a pair were lost,
-so that the promises hold only as far as they can.
+The model records what no single process knows: how often each request ran,
+which flows were accepted, and in which buckets home and heir were both lost.
+The properties are checked except where the protocol cannot guarantee them.
 """
 
 from collections.abc import Iterable
@@ -36,13 +36,13 @@
 BUCKETS = 1
 CALLER_TIMEOUT = 60.0
 TICK = 0.25
-# Two entries fill a part, so that handoffs take several.
+# Two entries fill a part, so that a takeover needs several parts.
 ENTRY_BYTES = 20000
 
 
 @attrs.define
 class Run:
-    """One run of an agent and the records that it waits for."""
+    """One incarnation of an agent and its unfinished records."""
 
     agent: Agent
     frozen: bool = False
@@ -50,21 +50,21 @@
     contents_by_ticket: dict[int, BucketContents] = attrs.field(factory=dict)
 
     def holds_flow(self, port: int) -> bool:
-        """Whether this run remembers a flow."""
+        """Whether the store of this incarnation has a flow."""
         kept = self.agent.store.export(port % BUCKETS)
         return flow(port, 'carrier').flows[0] in kept.flows
 
 
 @attrs.define
 class MessageInTransit:
-    """A message on its way."""
+    """A message that was sent and not yet delivered."""
 
     source: str
     send: Send
 
 
 class FakeControl:
-    """Commits views of one pool and keeps the unsettled ones."""
+    """Commits views of one pool and tracks the unsettled ones."""
 
     def __init__(self) -> None:
         self.number = 0
@@ -74,13 +74,13 @@
         self.replaced_at_by_number: dict[int, float] = {}
 
     def admit(self, host: str) -> ViewMember:
-        """Admit a new run of a host."""
+        """Admit a new incarnation of a host."""
         self.number += 1
         self.admitted_by_host[host] = self.number
         return self._member(host)
 
     def commit(self, hosts: set[str], now: float) -> None:
-        """Commit a view of these hosts as they were last admitted."""
+        """Commit a view with the last admitted incarnations of these hosts."""
         self.number += 1
         members = tuple(map(self._member, sorted(hosts)))
         unsettled: tuple[EarlierView, ...] = ()
@@ -100,11 +100,11 @@
             self.views.append(attrs.evolve(last, unsettled=()))
 
     def pair(self, number: int, bucket: int) -> Pair:
-        """Return the pair of a committed view."""
+        """Return home and heir in a committed view."""
         return pair_of(self.members_by_number[number], POOL, bucket)
 
     def newest_pair(self, bucket: int) -> Pair:
-        """Return the pair of the newest view."""
+        """Return home and heir in the newest view."""
         return self.pair(self.views[-1].number, bucket)
 
     def _member(self, host: str) -> ViewMember:
@@ -113,18 +113,18 @@
 
 
 class Account:
-    """How often each request ran, and what may be lost with excuse."""
+    """How often each request ran, and which losses cannot be prevented."""
 
     def __init__(self, control: FakeControl) -> None:
         self.ran: dict[int, int] = {}
         self.flows: set[int] = set()
         self._control = control
-        self._lossy: set[int] = set()
-        self._cut_off: set[int] = set()
-        self._excused: set[int] = set()
+        self._lost_buckets: set[int] = set()
+        self._cut_off_buckets: set[int] = set()
+        self._exempt_requests: set[int] = set()
 
     def take_effect(self, contents: BucketContents) -> None:
-        """Count what was recorded."""
+        """Count the requests and flows of recorded contents."""
         for entry in contents.entries:
             key = entry.key.message_id
             self.ran[key] = self.ran.get(key, 0) + 1
@@ -134,22 +134,24 @@
     def give_up(
         self, bucket: int, number: int, silent_by_run: dict, now: float
     ) -> None:
-        """Excuse what both of a lost pair knew.
+        """Exempt requests and flows of a bucket whose pair was given up.
 
-        A pair may be given up only when none of it can answer.  If it has
-        ended, requests of before may run again; if it is frozen or cut off,
-        it may itself go on later, which no protocol can prevent.
+        A pair may be given up only when neither agent can answer.  If both have
+        ended, earlier requests may run again; if one is frozen or cut off, it
+        may continue later, which no protocol can prevent.
         """
         assert now - self._control.replaced_at_by_number[number] >= HORIZON
         members = self._control.pair(number, bucket).members()
         for each in members:
             assert silent_by_run.get(each, True), f'{each.host} answers'
         if not silent_by_run.keys().isdisjoint(members):
-            self._cut_off.add(bucket)
-        self._excused.update(key for key in self.ran if key % BUCKETS == bucket)
+            self._cut_off_buckets.add(bucket)
+        self._exempt_requests.update(
+            key for key in self.ran if key % BUCKETS == bucket
+        )
 
-    def note_losses(self, runs: set[ViewMember]) -> None:
-        """Excuse the flows of pairs of which both runs have ended."""
+    def record_losses(self, runs: set[ViewMember]) -> None:
+        """Exempt the flows of buckets whose home and heir have both ended."""
         if not self._control.views:
             return
         last = self._control.views[-1]
@@ -157,26 +159,28 @@
             for bucket in range(BUCKETS):
                 members = self._control.pair(number, bucket).members()
                 if members and runs.isdisjoint(members):
-                    self._lossy.add(bucket)
+                    self._lost_buckets.add(bucket)
 
     def requests_run_twice(self) -> set[int]:
-        """Return requests that ran more than once without excuse."""
+        """Return requests that ran more than once and are not exempt."""
         return {
             key
             for key, times in self.ran.items()
             if times > 1
-            and key not in self._excused
-            and key % BUCKETS not in self._cut_off
+            and key not in self._exempt_requests
+            and key % BUCKETS not in self._cut_off_buckets
         }
 
     def flows_to_keep(self) -> set[int]:
-        """Return the ports of flows that must not be forgotten."""
-        excused = self._lossy | self._cut_off
-        return {port for port in self.flows if port % BUCKETS not in excused}
+        """Return the ports of flows that must not be lost."""
+        exempt_buckets = self._lost_buckets | self._cut_off_buckets
+        return {
+            port for port in self.flows if port % BUCKETS not in exempt_buckets
+        }
 
 
 class Cluster:
-    """Runs agents of one pool over a network that a test controls."""
+    """Agents of one pool on a simulated network."""
 
     def __init__(self) -> None:
         self.now: float = 0
@@ -191,23 +195,23 @@
         catch_up(self)
 
     def start(self, host: str) -> None:
-        """Start a run with an empty memory; it replaces a former one."""
+        """Start an agent with an empty store; it replaces the former one."""
         self.run_by_host[host] = Run(Agent(self.control.admit(host), BUCKETS))
-        self.note_losses()
+        self.record_losses()
 
-    def note_losses(self) -> None:
-        """Account for pairs that are gone."""
-        self.account.note_losses(
+    def record_losses(self) -> None:
+        """Exempt the flows of pairs that have ended."""
+        self.account.record_losses(
             {run.agent.me for run in self.run_by_host.values()}
         )
 
     def commit(self, hosts: set[str]) -> None:
-        """Commit a view."""
+        """Commit a view of these hosts."""
         self.control.commit(hosts, self.now)
-        self.note_losses()
+        self.record_losses()
 
     def settle(self) -> None:
-        """Let control count the reports of the runs there are."""
+        """Settle the newest view if all current agents report it settled."""
         self.control.settle(
             {
                 run.agent.me: run.settled_view
@@ -216,13 +220,13 @@
         )
 
     def running_hosts(self) -> list[str]:
-        """Return the hosts whose agent runs now."""
+        """Return the hosts whose agent is not frozen."""
         return [
             host for host, run in self.run_by_host.items() if not run.frozen
         ]
 
     def apply_view(self, host: str, index: int = -1) -> None:
-        """Let a host adopt a committed view, the newest or an older one."""
+        """Apply a committed view, the newest or an older one, at a host."""
         run = self.run_by_host[host]
         views = self.control.views
         if not run.frozen:
@@ -230,30 +234,30 @@
             self._carry_out(run, run.agent.keeper.apply_view(adopted, self.now))
 
     def tick(self, host: str) -> None:
-        """Let a host do what is due, and send its heartbeat."""
+        """Run a host's due work and update the view that it has settled."""
         run = self.run_by_host[host]
         if not run.frozen:
             self._carry_out(run, run.agent.keeper.tick(self.now))
             run.settled_view = run.agent.keeper.settled_view()
 
     def deliver(self, index: int, *, keep: bool = False) -> None:
-        """Deliver one message; a kept one comes again later."""
+        """Deliver one message; one that is kept is delivered again later."""
         if not self.in_transit:
             return
         place = index % len(self.in_transit)
-        letter = self.in_transit[place]
-        if self.is_held(letter):
+        message = self.in_transit[place]
+        if self.is_held(message):
             return
         if not keep:
             self.in_transit.pop(place)
-        run = self.run_by_host[letter.send.endpoint]
+        run = self.run_by_host[message.send.endpoint]
         effects = run.agent.keeper.on_message(
-            letter.send.message, self.now, letter.source
+            message.send.message, self.now, message.source
         )
         self._carry_out(run, effects)
 
     def request(self, host: str, key: int) -> None:
-        """Hand a non-idempotent request, perhaps a replay, to a host."""
+        """Send a non-idempotent request, perhaps a replay, to a host."""
         run = self.run_by_host[host]
         bucket = key % BUCKETS
         if run.frozen or run.agent.keeper.status(bucket) != InEffect():
@@ -270,7 +274,7 @@
             self._record(run, port % BUCKETS, flow(port, 'carrier'))
 
     def lost_flows(self, hosts: Iterable[str]) -> set[int]:
-        """Return accepted flows that none of these hosts holds."""
+        """Return the ports of accepted flows that none of these hosts holds."""
         return {
             port
             for port in self.account.flows_to_keep()
@@ -279,11 +283,11 @@
             )
         }
 
-    def is_held(self, letter: MessageInTransit) -> bool:
-        """Whether a message cannot arrive now."""
-        if self.run_by_host[letter.send.endpoint].frozen:
+    def is_held(self, message: MessageInTransit) -> bool:
+        """Whether a message cannot be delivered now."""
+        if self.run_by_host[message.send.endpoint].frozen:
             return True
-        ends = {letter.source, letter.send.endpoint}
+        ends = {message.source, message.send.endpoint}
         return len(ends & self.partitioned) == 1
 
     def _record(self, run: Run, bucket: int, contents: BucketContents) -> None:
@@ -310,10 +314,13 @@
                 case BucketInEffect(bucket, lost):
                     self._give_up(run, bucket, lost)
 
-    def _give_up(self, asking: Run, bucket: int, lost: tuple[int, ...]) -> None:
-        side = asking.agent.me.host in self.partitioned
+    def _give_up(
+        self, new_home: Run, bucket: int, lost: tuple[int, ...]
+    ) -> None:
+        is_partitioned = new_home.agent.me.host in self.partitioned
         silent_by_run = {
-            run.agent.me: run.frozen or (host in self.partitioned) != side
+            run.agent.me: run.frozen
+            or (host in self.partitioned) != is_partitioned
             for host, run in self.run_by_host.items()
         }
         for number in lost:
@@ -321,7 +328,7 @@
 
 
 def run_without_faults(cluster: Cluster, seconds: float) -> None:
-    """Let time pass without faults for those who run."""
+    """Advance time without new faults, for the agents that are not frozen."""
     end = cluster.now + seconds
     while cluster.now < end:
         cluster.now += TICK
@@ -331,7 +338,7 @@
 
 
 def deliver_all(cluster: Cluster) -> None:
-    """Deliver everything to those who run, and what follows from it."""
+    """Deliver all messages that can arrive, including those sent in reply."""
     index = 0
     while index < len(cluster.in_transit):
         if cluster.is_held(cluster.in_transit[index]):
@@ -341,7 +348,7 @@
 
 
 def catch_up(cluster: Cluster) -> None:
-    """Let all who run follow the newest view, and control settle it."""
+    """Apply the newest view at all running hosts, and settle it."""
     for _ in range(2):
         for host in cluster.running_hosts():
             cluster.apply_view(host)
@@ -350,7 +357,7 @@
 
 
 def heal_all(cluster: Cluster) -> None:
-    """Thaw all, let everyone follow the newest view, and wait it out."""
+    """End all faults, commit a view of all hosts, and wait for recovery."""
     for run in cluster.run_by_host.values():
         run.frozen = False
     cluster.partitioned.clear()
--- a/redwingstream/placement/tests/test_recording.py
+++ b/redwingstream/placement/tests/test_recording.py
@@ -1,4 +1,4 @@
-"""Records: at home and heir before they take effect, or never."""
+"""A record takes effect only once both home and heir hold it."""
 
 from redwingstream.errors import ResultCode
 from redwingstream.placement.effects import (
@@ -27,7 +27,7 @@
 
 
 def network() -> Network:
-    """Return agents a, b and c; a is home in effect and b is its heir."""
+    """Return agents a, b and c; the bucket is in effect at a, with heir b."""
     net = Network()
     for each in (HOST_A, HOST_B, HOST_C):
         net.join(each)
@@ -37,7 +37,7 @@
 
 
 class TestRecording:
-    """The heir acknowledges first."""
+    """A record takes effect after the heir has acknowledged it."""
 
     def test_is_recorded_at_both(self) -> None:
         net = network()
@@ -89,7 +89,7 @@
         net.record('c', started(7))
         assert not net.pop_held(Record)
 
-    def test_gives_up_at_its_time(self) -> None:
+    def test_is_refused_at_the_give_up_time(self) -> None:
         net = network()
         net.cut = {'b'}
         net.record('a', started(7), give_up_at=5)
@@ -97,12 +97,12 @@
         timed_out = RecordRefused(1, ResultCode.TIMED_OUT)
         assert net.results('a') == [timed_out]
 
-    def test_frozen_home_does_not_go_on_after_the_give_up_time(self) -> None:
-        """A reservation would be made twice.
+    def test_frozen_home_does_not_continue_after_the_give_up_time(self) -> None:
+        """A request would be run twice.
 
-        The heir accepts, then the home is frozen and the heir is lost; after
-        the longest replay time another home runs a replay.  The first home
-        runs again and finds the acknowledgement.
+        The heir accepts the record, then the home is frozen and the heir is
+        lost.  After the longest replay time another home runs a replay.  Then
+        the first home runs again and finds the acknowledgement.
         """
         net = network()
         net.record('a', started(7), give_up_at=5)
@@ -112,11 +112,12 @@
         timed_out = RecordRefused(1, ResultCode.TIMED_OUT)
         assert net.results('a') == [timed_out]
 
-    def test_later_run_of_the_heir_does_not_accept(self) -> None:
-        """A reservation would be made twice.
+    def test_later_incarnation_of_the_heir_does_not_accept(self) -> None:
+        """A request would be run twice.
 
-        The heir restarts with no fence; a home that was replaced meanwhile
-        sends to its address and would find every record accepted.
+        The heir restarts without its fence.  A home that was replaced
+        meanwhile sends its records to the same address, where all of them
+        would be accepted.
         """
         net = network()
         net.join(member('b', 5))
@@ -126,10 +127,11 @@
         assert net.holds('b') == BucketContents()
 
     def test_late_answer_of_an_older_view_does_not_count(self) -> None:
-        """A feed would be lost with its home.
+        """A feed would be lost when its home is lost.
 
-        The answer to a record of a's first term comes in its second one,
-        where the tickets begin again: the heir would seem to hold everything.
+        The answer to a record that a sent under view 1 arrives under view 3,
+        where its tickets begin at 1 again.  If it counted, the heir would seem
+        to hold all contents.
         """
         net = network()
         net.record('a', started(7))
@@ -149,7 +151,7 @@
         keeper.on_message(late, net.now, 'b')
         assert keeper.settled_view() < 3
 
-    def test_refuses_at_once_what_is_too_much(self) -> None:
+    def test_refuses_too_large_and_too_many_records_at_once(self) -> None:
         net = network()
         net.cut = {'b'}
         net.record('a', started(0, bytes(30000)))
@@ -163,7 +165,7 @@
 
 
 class TestHeirCopy:
-    """The heir holds all contents before a bucket counts as settled."""
+    """A bucket is settled only once the heir holds all its contents."""
 
     def test_settles_when_the_heir_has_acknowledged(self) -> None:
         net = network()
@@ -180,8 +182,8 @@
     def test_heir_gets_what_this_home_got_as_heir(self) -> None:
         """A request would be run again after its home is lost.
 
-        While a was heir of c, it accepted a record that its own former heir b
-        has never seen; then a is home again with b as heir, and a dies.
+        While a is heir of c, it accepts a record that b, its own former heir,
+        never receives.  Then a is home again with b as heir, and a dies.
         """
         net = network()
         second = view_with_pair(2, HOST_C, HOST_A, after=FIRST)
@@ -206,10 +208,10 @@
         assert net.holds('b') == started(7)
 
     def test_closed_flow_stays_closed(self) -> None:
-        """A feed that has ended would come back at the heir.
+        """A closed feed would be open again at the heir.
 
-        The message that opened it is delivered again after the one that
-        closed it.
+        The network delivers the message that opened the feed a second time,
+        after the one that closed it.
         """
         net = network()
         net.record('a', flow(4000, 'a'))
@@ -221,11 +223,11 @@
         net.deliver()
         assert net.holds('b') == BucketContents()
 
-    def test_flow_closed_during_the_handoff_stays_closed(self) -> None:
-        """A feed that has ended would come back at the heir.
+    def test_flow_closed_during_the_sync_stays_closed(self) -> None:
+        """A closed feed would be open again at the heir.
 
-        It is closed while the older contents, read before, still wait to be
-        handed over.
+        The feed is closed while existing contents, which were read before,
+        still wait to be sent to the new heir.
         """
         net = network()
         for key in range(5):
--- a/redwingstream/placement/tests/test_rendezvous.py
+++ b/redwingstream/placement/tests/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""Buckets spread by weight and move as little as possible."""
+"""Buckets are distributed by weight, and as few as possible move."""
 
 import attrs
 
@@ -26,13 +26,13 @@
 
 
 def losers(before: list[str], after: list[str]) -> set[str]:
-    """Return who was home of a bucket that has another home after."""
+    """Return the hosts that were home of a bucket and are not any more."""
     pairs = zip(before, after, strict=True)
     return {former for former, later in pairs if former != later}
 
 
 class TestBucketOf:
-    """A keyed hash of both ends."""
+    """The bucket of a flow is a keyed hash of both ends."""
 
     def test_depends_on_the_key_and_fills_all_buckets(self) -> None:
         callers = [f'10.0.0.1:{port}' for port in range(2000)]
@@ -45,9 +45,9 @@
 
 
 class TestPairOf:
-    """Weighted rendezvous hashing."""
+    """Home and heir are chosen by weighted rendezvous hashing."""
 
-    def test_moves_only_what_a_member_gains_or_loses(self) -> None:
+    def test_moves_only_buckets_of_the_changed_member(self) -> None:
         before = homes(MEMBERS)
         after = homes(MEMBERS[1:])
         assert losers(before, after) == {'host-0'}
@@ -59,7 +59,7 @@
         again = attrs.evolve(MEMBERS[3], incarnation=99)
         assert homes((*MEMBERS[:3], again, *MEMBERS[4:])) == homes(MEMBERS)
 
-    def test_gives_shares_by_weight(self) -> None:
+    def test_distributes_buckets_by_weight(self) -> None:
         heavy = attrs.evolve(MEMBERS[0], weight=300)
         held = homes((heavy, *MEMBERS[1:4])).count('host-0')
         assert 47 * BUCKETS < 100 * held < 53 * BUCKETS
@@ -71,7 +71,7 @@
         near = (member('a', 1), member('b', 2))
         assert len(pair_of(near, POOL, 0).members()) == 2
 
-    def test_knows_views_of_one_and_of_none(self) -> None:
+    def test_handles_views_of_one_member_and_of_none(self) -> None:
         assert pair_of(MEMBERS[:1], POOL, 0) == Pair(MEMBERS[0], None)
         assert pair_of((), POOL, 0) == Pair()
 
--- a/redwingstream/placement/tests/test_takeover.py
+++ b/redwingstream/placement/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""A bucket changes hands: fences, earlier pairs, loss of both."""
+"""Takeover of a bucket: fences, earlier pairs, loss of home and heir."""
 
 import attrs
 
@@ -38,7 +38,7 @@
 
 
 def network() -> Network:
-    """Return agents a to d of which the first view has a and b settled."""
+    """Return agents a to d; in the first view a is home and b is heir."""
     net = Network()
     for each in (HOST_A, HOST_B, HOST_C, HOST_D):
         net.join(each)
@@ -47,13 +47,13 @@
     return net
 
 
-def given_by(net: Network, host: str) -> int:
-    """Count the parts that a host has sent."""
+def parts_sent_by(net: Network, host: str) -> int:
+    """Return the number of parts that a host has sent."""
     return len(net.sent_by(host, BucketGiven))
 
 
 class TestTakeover:
-    """The new home hears from one of each earlier pair."""
+    """A new home needs the contents from one agent of each earlier pair."""
 
     def test_brings_records_to_the_new_pair(self) -> None:
         net = network()
@@ -67,7 +67,7 @@
         )
         assert net.holds('c') == net.holds('d') == flow(4000, 'd')
 
-    def test_old_home_forgets_only_when_settled(self) -> None:
+    def test_old_home_drops_contents_only_when_settled(self) -> None:
         net = network()
         net.record('a', flow(4000, 'd'))
         net.deliver()
@@ -79,12 +79,13 @@
         assert net.holds('a') == net.holds('b') == BucketContents()
         assert net.holds('c') == net.holds('d') == flow(4000, 'd')
 
-    def test_skipped_view_does_not_hide_what_ran_under_it(self) -> None:
-        """A reservation would be made twice.
+    def test_home_that_skipped_a_view_does_not_repeat_a_request(self) -> None:
+        """A request would be run twice.
 
-        Home a waits for its heir with a request.  Unnoticed by a, the bucket
-        moves to c, which runs a replay of the request, and back to a.  If a
-        repeated its record under the new view, it would run it again.
+        A record of home a waits for the heir.  Without a's knowledge the
+        bucket moves to c, which runs a replay of the request, and back to a.
+        If a sent its record again under the new view, it would run the request
+        again.
         """
         net = network()
         net.record('a', started(7))
@@ -100,12 +101,14 @@
         refused = RecordRefused(1, ResultCode.OUTCOME_UNKNOWN)
         assert net.results('a') == [refused]
 
-    def test_heir_for_a_while_does_not_repeat_what_it_recorded(self) -> None:
-        """A reservation would be made twice.
+    def test_home_that_was_heir_meanwhile_does_not_repeat_a_request(
+        self,
+    ) -> None:
+        """A request would be run twice.
 
-        Home a waits with a request; under a view that a has not heard of, a
-        is heir and accepts the record of the same request from c, which runs
-        it.  Then a is home again and must not go on with its own record.
+        A record of home a waits for the heir.  Under a view that a has not
+        applied, a is heir of c and accepts a record of the same request, which
+        c runs.  Then a is home again and must not send its own record again.
         """
         net = network()
         net.record('a', started(7))
@@ -124,11 +127,11 @@
         assert net.holds('b') == started(7)
 
     def test_fenced_home_ignores_the_answer_to_an_old_record(self) -> None:
-        """A reservation would be made twice.
+        """A request would be run twice.
 
-        Home a has sent a record; before the answer comes, the new home c
-        reads a's contents, in which the record is not.  The heir b, which
-        nobody has fenced, accepts it then.  For c the request is new.
+        Home a has sent a record.  Before the answer comes, the new home c
+        reads a's contents, which lack the record.  Then the heir b, which is
+        not fenced, accepts it, while the request is new to c.
         """
         net = network()
         net.record('a', started(7))
@@ -143,11 +146,12 @@
         assert net.status('a') == NotHome()
         assert net.results('a') == []
 
-    def test_another_run_does_not_answer_for_the_former_one(self) -> None:
-        """A run that remembers nothing would say that nothing ran.
+    def test_later_incarnation_does_not_answer_for_the_former_one(self) -> None:
+        """A request would be run twice.
 
-        The heir restarts with an empty memory at the same address, the home
-        is cut off; the new home asks the heir's address.
+        The heir restarts with an empty store at the same address, and the home
+        is cut off.  The new home sends its request to the heir's address; an
+        answer would say that no request has run.
         """
         net = network()
         net.record('a', started(7))
@@ -157,15 +161,15 @@
         net.apply_view(view_with_pair(6, HOST_C, HOST_D, after=FIRST), 'c')
         net.run(3)
         assert isinstance(net.status('c'), Recovering)
-        assert given_by(net, 'b') == 0
+        assert parts_sent_by(net, 'b') == 0
 
     def test_a_view_without_members_stands_for_unknown_ones(self) -> None:
-        """A replayed reading would run a second time.
+        """A replayed request would be run a second time.
 
-        Agents flap until control has cut off the oldest unsettled views, or
-        operators have recovered a lost majority.  What took effect under the
-        views that are gone nobody can name; an earlier view without members
-        stands in their place.  The new home hears from all others.
+        Control drops the oldest unsettled views after too many changes of the
+        members, or operators recover a lost majority.  What took effect under
+        the dropped views is unknown; an earlier view without members stands
+        for them.  The new home receives the contents of all others.
         """
         net = network()
         view = view_with_pair(3, HOST_A, HOST_C, after=FIRST)
@@ -176,11 +180,11 @@
         net.run(HORIZON)
         assert net.status('a') == InEffect()
 
-    def test_record_of_a_later_view_survives_a_late_table(self) -> None:
-        """A feed would be forgotten although its heir lives on.
+    def test_record_of_a_later_view_survives_late_tables(self) -> None:
+        """A feed would be lost although its heir is alive.
 
-        Agent d accepts a record as heir of a view that it has not adopted
-        yet.  Then it adopts the view before, in which it holds nothing.
+        Agent d accepts a record as heir of a view that it has not applied
+        yet.  Then it applies the view before, in which it holds nothing.
         """
         net = network()
         second = view_with_pair(2, HOST_C, HOST_B, after=FIRST)
@@ -193,11 +197,11 @@
         net.apply_view(view_with_pair(2, HOST_C, HOST_B), 'd')
         assert net.holds('d') == flow(4000, 'c')
 
-    def test_contents_in_parts_are_those_of_the_first_asking(self) -> None:
-        """An entry between two parts would be missing in both.
+    def test_parts_are_fixed_at_the_first_request(self) -> None:
+        """An entry at the boundary of two parts would be missing in both.
 
-        The old home's store changes after the first part was read: cut again,
-        the contents would leave out an entry at the seam.
+        The old home's store changes after the first part was read.  If the
+        contents were split again, the boundary would move past an entry.
         """
         net = network()
         for key in range(5):
@@ -207,10 +211,10 @@
         net.apply_view(view_with_pair(2, HOST_C, HOST_D, after=FIRST), 'c')
         net.cut = {'b'}
         net.hand_over_first()
-        net.agent_by_host['a'].store.forget(started(0).entries[0].key)
+        net.agent_by_host['a'].store.delete_request(started(0).entries[0].key)
         net.deliver()
         assert len(net.holds('c').entries) == 5
-        assert given_by(net, 'a') == 3
+        assert parts_sent_by(net, 'a') == 3
 
     def test_is_not_in_effect_before_the_last_part(self) -> None:
         net = network()
@@ -224,11 +228,11 @@
         net.run(1)
         assert net.status('c') == InEffect()
 
-    def test_what_was_heard_counts_under_the_next_view(self) -> None:
+    def test_complete_view_stays_complete_under_the_next_view(self) -> None:
         """Requests would be refused for minutes although nothing was lost.
 
-        The new home c has heard b and merged its contents; then a and b die
-        and the next view comes, under which c is home again.
+        The new home c has merged the contents of b.  Then a and b die, and c
+        is home again under the next view.
         """
         net = network()
         net.record('a', started(7))
@@ -240,7 +244,7 @@
         net.apply_view(view_with_pair(3, HOST_C, after=second), 'c')
         assert net.status('c') == InEffect()
 
-    def test_next_home_learns_what_the_former_one_has_heard(self) -> None:
+    def test_next_home_inherits_the_complete_views_of_the_former(self) -> None:
         net = network()
         second = view_with_pair(2, HOST_C, HOST_B, after=FIRST)
         net.apply_view(second, 'c')
@@ -250,23 +254,24 @@
         net.run(1)
         assert net.status('d') == InEffect()
 
-    def test_next_home_does_not_count_what_nobody_has_heard(self) -> None:
+    def test_next_home_does_not_count_incomplete_views(self) -> None:
         net = network()
         second = view_with_pair(2, HOST_C, HOST_B, after=FIRST)
         net.cut = {'a', 'b'}
         net.apply_view(second, 'c')
         net.apply_view(view_with_pair(3, HOST_D, HOST_C, after=second), 'd')
         net.run(3)
-        assert given_by(net, 'c')
+        assert parts_sent_by(net, 'c')
         assert isinstance(net.status('d'), Recovering)
 
-    def test_stale_asker_is_told_to_fetch(self) -> None:
-        """A reservation would be made twice.
+    def test_outdated_home_fetches_tables_and_gives_up_nothing(self) -> None:
+        """A request would be run twice.
 
-        Home c asks under a view that is out of date and hears of the next one
-        very late.  The earlier pair is well and refuses; if c took that for
-        silence, it would be in effect without their records, either at last
-        under the old view or at once under the new one.
+        Home c sends requests under an outdated view and receives the next one
+        very late.  The earlier pair is healthy and refuses.  If c counted that
+        as silence, the bucket would be in effect without the pair's records:
+        after the longest replay time under the old view, or at once under the
+        new one.
         """
         net = network()
         second = view_with_pair(2, HOST_C, HOST_B, after=FIRST)
@@ -287,7 +292,7 @@
 
 
 class TestLossOfBoth:
-    """Nobody of an earlier pair answers."""
+    """Neither home nor heir of an earlier view answers."""
 
     def test_recovers_after_the_longest_replay_time(self) -> None:
         net = network()
@@ -318,12 +323,12 @@
         assert net.results('c') == [Recorded(1)]
         assert net.agent_by_host['c'].keeper.settled_view() < 2
 
-    def test_own_sleep_is_not_the_silence_of_others(self) -> None:
-        """Two homes would be in effect at once.
+    def test_own_pause_does_not_count_as_silence_of_others(self) -> None:
+        """A bucket would be in effect at two homes at once.
 
-        The new home is frozen for longer than the replay time while it takes
-        the bucket over.  When it runs again, the earlier pair is well but has
-        not been asked since.
+        The new home is frozen for longer than the replay time during the
+        takeover.  When it runs again, the earlier pair is healthy but has
+        received no request since.
         """
         net = network()
         net.cut = {'a', 'b'}
@@ -335,13 +340,14 @@
 
 
 class TestFence:
-    """An agent that has been asked refuses what is older."""
+    """An agent that is fenced at a view refuses messages of older views."""
 
     def test_heir_refuses_a_home_that_was_frozen(self) -> None:
-        """A reservation would be made twice.
+        """A request would be run twice.
 
-        Home a is frozen, c takes over from the heir b, which does not even
-        know the new view; a runs again and goes on where it was.
+        Home a is frozen, and c takes over from the heir b, which has not
+        applied the new view itself.  Then a runs again and continues under the
+        old view.
         """
         net = network()
         net.cut = {'a'}
@@ -365,9 +371,9 @@
         )
         net.run(1)
         net.held = late
-        answers = given_by(net, 'a') + given_by(net, 'b')
+        answers = parts_sent_by(net, 'a') + parts_sent_by(net, 'b')
         net.deliver()
-        assert given_by(net, 'a') + given_by(net, 'b') == answers
+        assert parts_sent_by(net, 'a') + parts_sent_by(net, 'b') == answers
         assert net.status('a') == InEffect()
 
     def test_parts_fit_a_frame(self) -> None:
--- a/redwingstream/placement/views.py
+++ b/redwingstream/placement/views.py
@@ -49,33 +49,36 @@
     ) -> None:
         self.view = view
         known = {} if former is None else former.table_by_number()
-        self._newest = known.get(view.number) or PairTable.from_view(view)
-        self._earlier_by_number = {
+        self._newest_table = known.get(view.number) or PairTable.from_view(view)
+        self._earlier_table_by_number = {
             earlier.number: known.get(earlier.number)
             or PairTable(earlier.members, view.pool)
             for earlier in view.unsettled
         }
-        self._run_by_host = {
+        self._incarnation_by_host = {
             member.host: member.incarnation for member in view.members
         }
 
     def table_by_number(self) -> dict[int, PairTable]:
         """Return the tables of the view and its unsettled views by number."""
-        return {**self._earlier_by_number, self.view.number: self._newest}
+        return {
+            **self._earlier_table_by_number,
+            self.view.number: self._newest_table,
+        }
 
     def newest_pair(self, bucket: int) -> Pair:
         """Return home and heir of a bucket in the committed view."""
-        return self._newest.pair(bucket)
+        return self._newest_table.pair(bucket)
 
     def earlier_pairs(self, bucket: int) -> dict[int, Pair]:
         """Return the bucket's pairs in the unsettled views, by view number."""
         return {
             number: table.pair(bucket)
-            for number, table in self._earlier_by_number.items()
+            for number, table in self._earlier_table_by_number.items()
         }
 
     def earlier_views_with(self, bucket: int, run: Identity) -> set[int]:
-        """Return the numbers of unsettled views with a run as home or heir."""
+        """Return the numbers of unsettled views with `run` as home or heir."""
         return {
             number
             for number, pair in self.earlier_pairs(bucket).items()
@@ -84,7 +87,7 @@
 
     def earlier_numbers(self) -> frozenset[int]:
         """Return the numbers of the unsettled views."""
-        return frozenset(self._earlier_by_number)
+        return frozenset(self._earlier_table_by_number)
 
     def possibly_alive(self, pair: Pair) -> tuple[ViewMember, ...]:
         """Return the members of a pair that are not known to have ended.
@@ -95,5 +98,6 @@
         return tuple(
             member
             for member in pair.members()
-            if self._run_by_host.get(member.host, 0) <= member.incarnation
+            if self._incarnation_by_host.get(member.host, 0)
+            <= member.incarnation
         )
