--- a/redwingstream/membership/announcer.py
+++ b/redwingstream/membership/announcer.py
@@ -17,8 +17,7 @@
 """Seconds without an answer after which a process counts as cut off."""
 
 LEADER_TIMEOUT = 1.5
-"""Seconds without the leader's answer after which messages go to all
-control instances."""
+"""Seconds without a leader's answer after which all instances get messages."""
 
 
 @attrs.frozen
--- a/redwingstream/membership/tests/test_leases.py
+++ b/redwingstream/membership/tests/test_leases.py
@@ -150,11 +150,11 @@
         assert isinstance(outcome, Challenged)
 
     def test_history_expires(self) -> None:
-        returns = ReadmissionDelays()
+        delays = ReadmissionDelays()
         for now in range(10):
-            returns.record_admission('h1', now)
-        assert returns.admission_delay('h1', 10) > 0
-        assert returns.admission_delay('h1', 10 + HISTORY_TIMEOUT) == 0
+            delays.record_admission('h1', now)
+        assert delays.admission_delay('h1', 10) > 0
+        assert delays.admission_delay('h1', 10 + HISTORY_TIMEOUT) == 0
 
     def test_a_delayed_host_is_told_the_remaining_seconds(
         self, leases: Leases
--- a/redwingstream/placement/messages.py
+++ b/redwingstream/placement/messages.py
@@ -18,8 +18,8 @@
     flows : tuple of FlowRecord
         Established feeds, and flows that another agent than the home carries.
     condensed : CondensedRequests
-        Filters of non-idempotent requests that have no entry any more; in the
-        first part only.
+        Non-idempotent requests without an entry, as Bloom filters; in the first
+        part only.
     """
 
     entries: tuple[LedgerEntry, ...] = ()
--- a/redwingstream/placement/parts.py
+++ b/redwingstream/placement/parts.py
@@ -84,8 +84,8 @@
 def _limit_size(item: Item) -> Item:
     # An item that fits no part would block the takeover of its bucket for
     # good: the new home would repeat its request without end.  The item loses
-    # its longest field instead; a request whose answer is too large to send
-    # becomes *unknown* and is never run again.
+    # its answer or registration instead; a request whose answer is too large
+    # to send becomes *unknown* and is never run again.
     if encoded_size(item) <= RECORD_BYTES:
         return item
     if isinstance(item, LedgerEntry):
--- a/redwingstream/placement/takeover.py
+++ b/redwingstream/placement/takeover.py
@@ -109,7 +109,7 @@
         return 0 if self.is_outdated else self.silent_seconds(number)
 
     def is_recovering(self) -> bool:
-        """Whether a pair has ended, or has not answered for a long time."""
+        """Whether a pair has no agent left, or has been silent for long."""
         return any(
             not each.members
             or self.silent_seconds(each.number) >= self._timing.recovering_after
