--- a/redwingstream/consensus/__init__.py
+++ b/redwingstream/consensus/__init__.py
@@ -1,17 +1,23 @@
-"""Agreement among the control instances, without I/O and without a clock.
+"""Raft consensus among the control instances, without I/O and without a clock.
 
 Modules
 -------
 messages
-    What replicas send each other, and the entries they agree on.
+    Messages between replicas, and the log entries that they replicate.
 events
-    What a replica is told and what it wants done.
+    Inputs of a replica, and the effects that its driver has to carry out.
 log
-    The entries in memory, above a snapshot.
+    The entries held in memory, and the snapshot that they follow.
 state
-    Everything a replica knows, and its role.
-election, leading, sending, following, joining
-    The decisions, by duty.
+    State of a replica, and its role.
+election
+    Pre-votes, votes and the start of a term.
+leader_handlers, leader_messages, leader_contact
+    Replication, commits, reads and liveness, as a leader decides on them.
+follower_handlers
+    A follower's handling of entries and snapshots.
+group_formation, group_changes, quorum
+    First group, changes of the group, and majorities while it changes.
 core
-    The dispatch from events to decisions.
+    Dispatch of events to these modules.
 """
--- a/redwingstream/consensus/core.py
+++ b/redwingstream/consensus/core.py
@@ -1,14 +1,14 @@
-"""The dispatch from events to decisions."""
+"""Dispatch of events to the modules that decide on them."""
 
 import random
 
 from redwingstream.consensus import (
     election,
-    following,
-    hearing,
-    joining,
-    leading,
-    resizing,
+    follower_handlers,
+    group_changes,
+    group_formation,
+    leader_contact,
+    leader_handlers,
 )
 from redwingstream.consensus.events import (
     Effects,
@@ -18,7 +18,7 @@
     HardState,
     PeersUpdated,
     Proposed,
-    ReadAsked,
+    ReadRequested,
     Received,
     SnapshotTaken,
     Synced,
@@ -42,36 +42,36 @@
     FIXED_GROUP,
     Candidate,
     Follower,
+    GroupPolicy,
     Leader,
     ReplicaState,
-    GroupPolicy,
     Timing,
 )
 from redwingstream.errors import CallFailedError, ResultCode
 
 
 class Consensus:
-    """Decides for one replica; does no I/O and reads no clock.
+    """State machine of one Raft replica, without I/O and without a clock.
 
     Parameters
     ----------
     myself : Voter
-        Its name and identity.
+        Name and identity of the replica.
     names : tuple of str
-        All replicas of the settings, itself included; empty when the group
-        is resized among those that are heard.
+        All replicas in the settings, itself included; empty for a resizable
+        group.
     timing : Timing
         Timeouts.
     jitter : random.Random
-        Spreads elections; seeded by tests.
+        Draws election timeouts; tests pass a seeded one.
     now : float
-        Time of the start in seconds.
-    sizing : Sizing
-        How the group is resized; by default it is the one of the settings.
+        Time of the start in seconds, by the event loop's clock.
+    group_policy : GroupPolicy
+        How the group chooses its voters; by default the settings list them.
 
     See Also
     --------
-    redwingstream.consensus.events : what goes in and out.
+    redwingstream.consensus.events : inputs and effects.
     """
 
     def __init__(
@@ -81,13 +81,13 @@
         timing: Timing,
         jitter: random.Random,
         now: float = 0,
-        sizing: GroupPolicy = FIXED_GROUP,
+        group_policy: GroupPolicy = FIXED_GROUP,
     ) -> None:
         role = Follower(now)
         self._state = ReplicaState(
-            myself, names, sizing, timing, jitter, Log(), role
+            myself, names, group_policy, timing, jitter, Log(), role
         )
-        role.deadline = now + self._state.ask_timeout()
+        role.deadline = now + self._state.pre_vote_timeout()
         self._state.next_hello = now
 
     def restore(
@@ -96,7 +96,7 @@
         snapshot: Snapshot | None,
         entries: list[Entry],
     ) -> None:
-        """Take over what was stored, before the first event."""
+        """Load the stored state, before the first event."""
         state = self._state
         state.term = hard_state.term
         state.vote = hard_state.vote
@@ -123,7 +123,7 @@
 
     @property
     def commit(self) -> int:
-        """Index up to which entries are known as accepted."""
+        """Index up to which entries are known to be committed."""
         return self._state.commit
 
     @property
@@ -133,7 +133,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether it leads and knows all that was accepted before."""
+        """Whether it leads and knows all entries committed before its term."""
         match self._state.role:
             case Leader(first_index=first_index):
                 return self._state.commit >= first_index
@@ -142,7 +142,7 @@
 
     @property
     def leader(self) -> str:
-        """Name of the leader as far as known; empty when not."""
+        """Name of the leader; empty when unknown."""
         match self._state.role:
             case Leader():
                 return self._state.myself.name
@@ -153,7 +153,7 @@
 
     @property
     def role_name(self) -> str:
-        """The role in words, for dumps."""
+        """Name of the role, for dumps and log events."""
         if not self._state.log.group:
             return 'fresh'
         if not self._state.is_voter(self._state.myself):
@@ -161,25 +161,29 @@
         return type(self._state.role).__name__.lower()
 
     def confirmed_age(self, now: float) -> float:
-        """Return since how many seconds its log may be behind.
+        """Return for how many seconds its log may have been behind.
 
         Notes
         -----
-        A leader counts from when a majority last answered, a follower from
-        when it last held all that its leader called accepted.  A leader that is
-        cut off stops leading after ``Timing.election_max``, so a follower that
-        is cut off with it may name an age that is too small by so much.
-
-        Neither names one before the leader knows what was accepted before its
-        term.  Right after a loss of power all replicas hold what their disks
-        held, know none of it as accepted, and would otherwise call empty tables
-        the newest: balancers refuse every route then.
+        A leader measures from the last time a majority answered, a follower
+        from the last time it held all entries that its leader knew to be
+        committed.  A leader that is partitioned steps down after
+        ``Timing.election_max``, so the age that a follower on its side of the
+        partition returns may be too small by that much.
+
+        The age is infinite until the leader knows what was committed before
+        its term.  Right after a power failure all replicas hold what is on
+        their disks but know none of it to be committed.  They would otherwise
+        report empty tables as the newest, and balancers would refuse every
+        route.
         """
         match self._state.role:
             case Leader() as leader if self.is_ready:
-                return now - hearing.confirmed_at(self._state, leader, now)
-            case Follower(current_at=current_at):
-                return now - current_at
+                return now - leader_contact.confirmed_at(
+                    self._state, leader, now
+                )
+            case Follower(caught_up_at=caught_up_at):
+                return now - caught_up_at
             case _:
                 return float('inf')
 
@@ -189,29 +193,29 @@
         Returns
         -------
         int, Effects
-            Its index, and what has to be done.
+            Index of the command, and the effects to carry out.
 
         Raises
         ------
         CallFailedError
-            ``NOT_LEADER`` when another replica leads or this one stops,
-            ``NO_QUORUM`` when too much waits for acceptance.  The command is
-            not in the log then.
+            ``NOT_LEADER`` when another replica leads, ``NO_QUORUM`` when no
+            leader is known, this replica is handing over, or too many entries
+            are uncommitted.  The command is not in the log then.
         """
         role = self._leader_role()
-        index = leading.on_proposed(self._state, role, proposed, now)
+        index = leader_handlers.on_proposed(self._state, role, proposed, now)
         if index is None:
             raise CallFailedError(
-                'this replica takes no more changes: it stops, or too many '
-                'wait for a majority; try again',
+                'this replica accepts no more changes: it is stopping, or too '
+                'many wait for a majority; try again',
                 ResultCode.NO_QUORUM,
             )
         return index, self._take_effects()
 
-    def read(self, asked: ReadAsked, now: float) -> Effects:
+    def read(self, asked: ReadRequested, now: float) -> Effects:
         """Start a linearizable read; see :meth:`propose` for errors."""
         role = self._leader_role()
-        if not leading.on_read(self._state, role, asked.ticket, now):
+        if not leader_handlers.on_read(self._state, role, asked.ticket, now):
             raise CallFailedError(
                 'too many reads wait for a majority; try again',
                 ResultCode.NO_QUORUM,
@@ -219,7 +223,7 @@
         return self._take_effects()
 
     def step(self, event: Event, now: float) -> Effects:
-        """Take one event and return what has to be done."""
+        """Handle one event and return the effects to carry out."""
         state = self._state
         match event:
             case Ticked():
@@ -229,13 +233,13 @@
             case Synced(index=index):
                 _synced(state, index)
             case SnapshotTaken():
-                _take_snapshot(state, event)
+                _compact_log(state, event)
             case HandOverRequested():
                 _hand_over(state)
             case PeersUpdated(peers=peers):
-                resizing.note_peers(state, peers)
+                group_changes.record_peers(state, peers)
             case GroupFounded(group=group):
-                joining.found(state, group)
+                group_formation.adopt_founding_group(state, group)
         return self._take_effects()
 
     def _leader_role(self) -> Leader:
@@ -248,8 +252,8 @@
                 ResultCode.NOT_LEADER,
             )
         raise CallFailedError(
-            'no replica leads as far as this one knows: no majority of the '
-            'control instances can be reached, or an election is under way',
+            'no leader is known to this replica: no majority of the control '
+            'instances can be reached, or an election is in progress',
             ResultCode.NO_QUORUM,
         )
 
@@ -265,7 +269,7 @@
         return
     match state.role:
         case Leader() as leader:
-            leading.on_tick(state, leader, now)
+            leader_handlers.on_tick(state, leader, now)
         case Follower(deadline=deadline) if now >= deadline:
             election.campaign(state, now, pre=True)
         case Candidate(deadline=deadline) if now >= deadline:
@@ -273,22 +277,22 @@
 
 
 def _look_for_group(state: ReplicaState, now: float) -> None:
-    # A group that is resized is founded from outside.
-    if now >= state.next_hello and not state.sizing.size:
+    # The first voters of a resizable group are chosen by the driver.
+    if now >= state.next_hello and not state.group_policy.size:
         state.next_hello = now + state.timing.heartbeat
-        joining.look_for_group(state)
+        group_formation.look_for_group(state)
 
 
 def _receive(state: ReplicaState, message: ReplicaMessage, now: float) -> None:
-    # In a group that is resized, the sender may have a place that this replica
-    # has not heard of yet.
-    if not state.sizing.size and message.sender.name not in state.others:
+    # In a resizable group the sender may have become a voter by an entry that
+    # this replica has not received yet.
+    if not state.group_policy.size and message.sender.name not in state.others:
         return
     match message:
         case AppendEntries():
-            following.on_entries(state, message, now)
+            follower_handlers.on_entries(state, message, now)
         case SnapshotPart():
-            following.on_part(state, message, now)
+            follower_handlers.on_snapshot_part(state, message, now)
         case AppendAnswer():
             _append_answered(state, message, now)
         case VoteRequest():
@@ -297,38 +301,38 @@
             election.on_answer(state, message, now)
         case TakeOver():
             election.on_take_over(state, message, now)
-        case Hello() if not state.sizing.size:
-            joining.on_hello(state, message)
+        case Hello() if not state.group_policy.size:
+            group_formation.on_hello(state, message)
 
 
 def _append_answered(
     state: ReplicaState, answer: AppendAnswer, now: float
 ) -> None:
     if answer.term > state.term:
-        state.remember(answer.term, '')
-        state.follow(now)
+        state.store_vote(answer.term, '')
+        state.become_follower(now)
         return
     if isinstance(state.role, Leader):
-        leading.on_answer(state, state.role, answer, now)
+        leader_handlers.on_answer(state, state.role, answer, now)
 
 
 def _synced(state: ReplicaState, index: int) -> None:
     if isinstance(state.role, Leader):
-        leading.on_synced(state, state.role, index)
+        leader_handlers.on_synced(state, state.role, index)
 
 
-def _take_snapshot(state: ReplicaState, taken: SnapshotTaken) -> None:
+def _compact_log(state: ReplicaState, taken: SnapshotTaken) -> None:
     log = state.log
     if taken.index <= log.snapshot_index or log.is_joining_at(taken.index):
-        # A snapshot names one group; a change under way ends within moments.
+        # A snapshot holds one group only; the change ends within two entries.
         return
     term = log.term_at(taken.index) or 0
     group = log.group_at(taken.index)
     snapshot = Snapshot(taken.index, term, group, taken.state)
-    log.compact(snapshot, taken.kept)
+    log.compact(snapshot, taken.kept_entries)
     state.effects.snapshot = snapshot
 
 
 def _hand_over(state: ReplicaState) -> None:
     if isinstance(state.role, Leader):
-        leading.hand_over(state, state.role)
+        leader_handlers.hand_over(state, state.role)
--- a/redwingstream/consensus/election.py
+++ b/redwingstream/consensus/election.py
@@ -1,13 +1,13 @@
-"""Who leads: asking for votes and giving them."""
+"""Elections: requests for votes and pre-votes, and the answers."""
 
-from redwingstream.consensus import leading
+from redwingstream.consensus import leader_handlers
 from redwingstream.consensus.messages import (
     TakeOver,
     VoteAnswer,
     Voter,
     VoteRequest,
 )
-from redwingstream.consensus.quorum import agreed
+from redwingstream.consensus.quorum import quorum_value
 from redwingstream.consensus.state import (
     Candidate,
     Follower,
@@ -17,32 +17,32 @@
 
 
 def campaign(state: ReplicaState, now: float, *, pre: bool) -> None:
-    """Stand for election, or ask first whether there is any point.
+    """Start an election, or a pre-vote for one.
 
     Notes
     -----
-    A replica that was cut off would come back with a higher term at each try
-    and make a working leader step down.  Asking first changes nobody's term,
-    and those who hear a leader say no.
+    A replica that was partitioned would otherwise return with a higher term
+    after each attempt and make a working leader step down.  A pre-vote changes
+    no term, and replicas that hear a leader refuse it.
     """
-    if not state.is_voter(state.myself) or _leaves_it_to_first(state):
-        state.follow(now)
+    if not state.is_voter(state.myself) or _defers_to_first_voter(state):
+        state.become_follower(now)
         return
-    _stand(state, now, pre=pre, handed_over=False)
+    _start_election(state, now, pre=pre, handed_over=False)
 
 
 def on_take_over(state: ReplicaState, asked: TakeOver, now: float) -> None:
-    """Stand for election at once: the leader of this term stops."""
+    """Start an election at once, since the leader of this term stops."""
     if asked.term == state.term and state.is_voter(state.myself):
-        _stand(state, now, pre=False, handed_over=True)
+        _start_election(state, now, pre=False, handed_over=True)
 
 
 def on_request(state: ReplicaState, asked: VoteRequest, now: float) -> None:
-    """Give a vote, or say whether one would be given."""
+    """Answer a request for a vote or a pre-vote."""
     if not state.log.group or not state.is_voter(state.myself):
-        # This replica's disk was lost, or it was never there: the identity
-        # that others count on may have voted already in this term.  It shows
-        # as two leaders in a term.  Until it is readmitted it gives no vote.
+        # This replica has lost its disk or has never been a voter.  Its former
+        # identity may have voted in this term already, and a second vote could
+        # give one term two leaders.  So it does not vote until readmitted.
         return
     if not asked.handed_over and _hears_leader(state, now):
         _answer(state, asked, granted=False)
@@ -55,10 +55,10 @@
 
 
 def on_answer(state: ReplicaState, answer: VoteAnswer, now: float) -> None:
-    """Count a vote."""
+    """Count an answer to a vote request."""
     if answer.term > state.term and not answer.granted:
-        state.remember(answer.term, '')
-        state.follow(now)
+        state.store_vote(answer.term, '')
+        state.become_follower(now)
         return
     role = state.role
     if not isinstance(role, Candidate) or not answer.granted:
@@ -69,14 +69,14 @@
     _check_won(state, role, now)
 
 
-def _stand(
+def _start_election(
     state: ReplicaState, now: float, *, pre: bool, handed_over: bool
 ) -> None:
-    timeout = state.ask_timeout() if pre else state.election_timeout()
+    timeout = state.pre_vote_timeout() if pre else state.election_timeout()
     role = Candidate(now + timeout, pre, {state.myself})
     state.role = role
     if not pre:
-        state.remember(state.term + 1, state.myself.name)
+        state.store_vote(state.term + 1, state.myself.name)
     asked = VoteRequest(
         _wanted_term(state, role),
         state.myself,
@@ -90,9 +90,9 @@
     _check_won(state, role, now)
 
 
-def _leaves_it_to_first(state: ReplicaState) -> bool:
-    # The first election of a group takes the votes of all.  If all stood for
-    # it they would split them again and again: up to 4.5 s in a trial.
+def _defers_to_first_voter(state: ReplicaState) -> bool:
+    # The first election of a group needs the votes of all.  If every replica
+    # started one, split votes would delay it by up to 4.5 s.
     return state.log.last_index == 0 and state.myself != state.log.group[0]
 
 
@@ -104,19 +104,19 @@
     if not _is_elected(state, role.granted):
         return
     if role.pre:
-        _stand(state, now, pre=False, handed_over=False)
+        _start_election(state, now, pre=False, handed_over=False)
         return
-    leading.begin(state, now)
+    leader_handlers.become_leader(state, now)
 
 
 def _is_elected(state: ReplicaState, granted: set[Voter]) -> bool:
-    # Before the first entry every replica has to take part.  Otherwise some
-    # could form a group and accept entries while another one has not heard
-    # of it yet; after the loss of the former's disks that one would form a
-    # second group with the returned ones, and accepted entries would be gone.
+    # Before the first entry every replica has to vote.  Otherwise some could
+    # form a group and commit entries before another one knows of it.  If they
+    # then lost their disks, that one would form a second group with them, and
+    # committed entries would be lost.
     if state.log.last_index == 0:
         return granted.issuperset(state.log.group)
-    return agreed(state.groups, dict.fromkeys(granted, 1)) > 0
+    return quorum_value(state.groups, dict.fromkeys(granted, 1)) > 0
 
 
 def _hears_leader(state: ReplicaState, now: float) -> bool:
@@ -131,13 +131,13 @@
 
 def _vote(state: ReplicaState, asked: VoteRequest, now: float) -> None:
     if asked.term > state.term:
-        state.remember(asked.term, '')
-        state.follow(now)
+        state.store_vote(asked.term, '')
+        state.become_follower(now)
     free = state.vote in {'', asked.sender.name}
     granted = asked.term == state.term and free and _is_up_to_date(state, asked)
     if granted:
-        state.remember(asked.term, asked.sender.name)
-        state.follow(now)
+        state.store_vote(asked.term, asked.sender.name)
+        state.become_follower(now)
     _answer(state, asked, granted=granted)
 
 
--- a/redwingstream/consensus/events.py
+++ b/redwingstream/consensus/events.py
@@ -1,4 +1,4 @@
-"""What a replica is told, and what it wants done."""
+"""Input events of a replica, and the effects that its driver carries out."""
 
 import attrs
 
@@ -17,21 +17,21 @@
 
 @attrs.frozen
 class Received:
-    """A message of another replica has come."""
+    """A message of another replica has arrived."""
 
     message: ReplicaMessage
 
 
 @attrs.frozen
 class Synced:
-    """Entries up to an index are durable here."""
+    """Entries up to an index are durable on this replica's disk."""
 
     index: int
 
 
 @attrs.frozen
 class Proposed:
-    """A command for the log.
+    """A command to append to the log.
 
     Parameters
     ----------
@@ -46,13 +46,13 @@
 
 
 @attrs.frozen
-class ReadAsked:
-    """Somebody wants to read what is accepted as of now.
+class ReadRequested:
+    """A linearizable read is requested.
 
     Parameters
     ----------
     ticket : int
-        Number by which the answer is known.
+        Number that identifies the read in :class:`ReadReady`.
     """
 
     ticket: int
@@ -60,37 +60,37 @@
 
 @attrs.frozen
 class SnapshotTaken:
-    """The state machine's state after an entry, to replace older entries.
+    """A snapshot of the state machine was taken, to replace older entries.
 
     Parameters
     ----------
     index : int
-        The last entry that it contains; it must have been applied.
+        Index of the last entry that it contains; it must have been applied.
     state : bytes
-        The state.
+        Encoded state of the state machine.
     kept : int
-        Entries below the index that stay in memory, so that a replica a
-        little behind needs no snapshot.
+        Number of entries below the index that stay in memory, so that a
+        replica that is slightly behind needs no snapshot.
     """
 
     index: int
     state: bytes
-    kept: int
+    kept_entries: int
 
 
 @attrs.frozen
 class HandOverRequested:
-    """This replica is about to stop."""
+    """This replica is about to stop and should hand over its leadership."""
 
 
 @attrs.frozen
 class Peer:
-    """Another replica with a disk, as it was heard lately.
+    """Another replica that has a disk and was heard recently.
 
     Parameters
     ----------
     voter : Voter
-        Its name and identity.
+        Name and identity of the replica.
     zone : str
         Its availability zone.
     """
@@ -101,12 +101,12 @@
 
 @attrs.frozen
 class PeersUpdated:
-    """Which replicas with a disk run now, in a group that may be resized.
+    """The set of running replicas with a disk, for a resizable group.
 
     Parameters
     ----------
     peers : tuple of Peer
-        All that were heard lately, this replica left out.
+        All that were heard recently, without this replica.
     """
 
     peers: tuple[Peer, ...]
@@ -114,12 +114,12 @@
 
 @attrs.frozen
 class GroupFounded:
-    """The first group was chosen, while nothing can have been accepted.
+    """The first group was chosen, before anything can have been committed.
 
     Parameters
     ----------
     group : tuple of Voter
-        Who is in it.
+        Its voters.
     """
 
     group: tuple[Voter, ...]
@@ -130,7 +130,7 @@
     | Received
     | Synced
     | Proposed
-    | ReadAsked
+    | ReadRequested
     | SnapshotTaken
     | HandOverRequested
     | PeersUpdated
@@ -140,14 +140,14 @@
 
 @attrs.frozen
 class HardState:
-    """What a replica must never forget besides its entries.
+    """Term and vote, which a replica has to keep durable as well as entries.
 
     Parameters
     ----------
     term : int
         Highest term it has seen.
     vote : str
-        Name of the replica that got its vote in that term; empty for none.
+        Name of the replica that it voted for in that term; empty for none.
     """
 
     term: int = 0
@@ -156,7 +156,7 @@
 
 @attrs.frozen
 class Outgoing:
-    """A message for another replica, by its name."""
+    """A message to send to another replica, given by its name."""
 
     target: str
     message: ReplicaMessage
@@ -172,25 +172,25 @@
 
 @attrs.define
 class Effects:
-    """What has to be done, in the order of the fields.
+    """Work that the driver has to do, in the order of the fields.
 
     Parameters
     ----------
     snapshot : Snapshot or None
-        To store in place of older entries.
+        Snapshot to store in place of older entries.
     install : bool
-        True when the state machine has to load that snapshot.
+        True if the state machine has to load that snapshot.
     hard_state : HardState or None
-        To store.
+        Term and vote to store.
     entries : list of Entry
-        To store; the first one replaces all entries from its index on.
+        Entries to store; the first one replaces all from its index on.
     outgoing : list of Outgoing
-        To send, and never before everything above is synced: an answer that
-        leaves before the sync promises what a crash can still take back.
+        Messages to send, only after everything above is synced: an answer
+        that is sent before the sync promises what a crash can still undo.
     committed : list of Entry
-        To apply, in this order.
+        Entries to apply, in this order.
     reads : list of ReadReady
-        Reads that may be answered.
+        Reads that may be answered once ``committed`` is applied.
     """
 
     snapshot: Snapshot | None = None
@@ -203,7 +203,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing has to be done; most looks at timers find nothing."""
+        """Whether nothing has to be done, as after most ticks."""
         has_state = self.snapshot is not None or self.hard_state is not None
         has_entries = bool(self.entries or self.committed)
         return not (has_state or has_entries or self.outgoing or self.reads)
--- a/redwingstream/consensus/following.py
+++ b/redwingstream/consensus/follower_handlers.py
@@ -1,4 +1,4 @@
-"""What a follower does with its leader's entries and snapshots."""
+"""Handling of a leader's entries and snapshots by a follower."""
 
 from redwingstream.consensus.messages import (
     AppendAnswer,
@@ -13,30 +13,32 @@
     ReplicaState,
 )
 
-MAX_SNAPSHOT = 67108864
+MAX_SNAPSHOT_BYTES = 67108864
 
 
 def on_entries(state: ReplicaState, sent: AppendEntries, now: float) -> None:
-    """Take the leader's entries where they fit."""
+    """Append the leader's entries if they follow the own log."""
     if not _accept_leader(state, sent, now):
         _answer(state, sent, accepted=False, match=0)
         return
     if state.log.snapshot is None:
-        _ask_snapshot(state, sent)
+        _request_snapshot(state, sent)
         return
     if sent.previous_index < state.log.base_index:
-        # What is below the base was accepted, and so is the same everywhere.
+        # Entries below the base are committed, and so are equal everywhere.
         _answer(state, sent, accepted=True, match=state.log.base_index)
         return
     if state.log.term_at(sent.previous_index) != sent.previous_term:
-        _answer(state, sent, accepted=False, match=_hint(state, sent))
+        _answer(state, sent, accepted=False, match=_retry_index(state, sent))
         return
-    _take_entries(state, sent)
-    _note_current(state, sent, now)
+    _append_entries(state, sent)
+    _record_caught_up(state, sent, now)
 
 
-def on_part(state: ReplicaState, part: SnapshotPart, now: float) -> None:
-    """Take a part of the leader's snapshot; install it when it is whole."""
+def on_snapshot_part(
+    state: ReplicaState, part: SnapshotPart, now: float
+) -> None:
+    """Store a part of the leader's snapshot; install it once complete."""
     if not _accept_leader(state, part, now):
         _answer(state, part, accepted=False, match=0)
         return
@@ -58,19 +60,19 @@
     if sent.term < state.term:
         return False
     if sent.term > state.term or not state.vote:
-        # The vote of this term goes to its leader: a replica that has lost
-        # its disk and is readmitted in the same term votes for nobody else.
-        state.remember(sent.term, sent.sender.name)
+        # The vote of this term goes to its leader, so that a replica that has
+        # lost its disk and is readmitted in the same term votes for no other.
+        state.store_vote(sent.term, sent.sender.name)
     match state.role:
         case Follower() as follower if follower.leader == sent.sender.name:
             follower.heard_at = now
             follower.deadline = now + state.election_timeout()
         case _:
-            state.follow(now, sent.sender.name)
+            state.become_follower(now, sent.sender.name)
     return True
 
 
-def _take_entries(state: ReplicaState, sent: AppendEntries) -> None:
+def _append_entries(state: ReplicaState, sent: AppendEntries) -> None:
     fresh = _without_known(state, sent.entries)
     if fresh:
         state.log.append(fresh)
@@ -80,26 +82,28 @@
     _answer(state, sent, accepted=True, match=match)
 
 
-def _note_current(state: ReplicaState, sent: AppendEntries, now: float) -> None:
-    # A leader elected just now may know less as accepted than was accepted
-    # before; it knows all once an entry of its own term is.
-    is_whole = state.commit >= sent.commit
-    if is_whole and state.log.term_at(state.commit) == state.term:
-        state.role.current_at = now
+def _record_caught_up(
+    state: ReplicaState, sent: AppendEntries, now: float
+) -> None:
+    # A leader that was just elected may not know all committed entries yet.  It
+    # knows them once an entry of its own term is committed.
+    has_all_committed = state.commit >= sent.commit
+    if has_all_committed and state.log.term_at(state.commit) == state.term:
+        state.role.caught_up_at = now
 
 
 def _without_known(
     state: ReplicaState, entries: tuple[Entry, ...]
 ) -> tuple[Entry, ...]:
-    # A delayed message repeats entries that are there already.  Cutting the
-    # log at its first entry would drop later ones that were acknowledged.
+    # A delayed message repeats entries that the log holds already.  Truncating
+    # the log at its first entry would drop later, acknowledged entries.
     for position, entry in enumerate(entries):
         if state.log.term_at(entry.index) != entry.term:
             return entries[position:]
     return ()
 
 
-def _hint(state: ReplicaState, sent: AppendEntries) -> int:
+def _retry_index(state: ReplicaState, sent: AppendEntries) -> int:
     log = state.log
     index = min(sent.previous_index - 1, log.last_index)
     term = log.term_at(index)
@@ -114,7 +118,9 @@
     if incoming is None or (incoming.index, incoming.term) != wanted:
         incoming = IncomingSnapshot(*wanted, state=bytearray())
         state.incoming = incoming
-    fits = part.offset == len(incoming.state) and part.size <= MAX_SNAPSHOT
+    fits = (
+        part.offset == len(incoming.state) and part.size <= MAX_SNAPSHOT_BYTES
+    )
     if fits:
         incoming.state.extend(part.snapshot.state)
     return incoming
@@ -130,7 +136,7 @@
     state.effects.install = True
 
 
-def _ask_snapshot(state: ReplicaState, sent: AppendEntries) -> None:
+def _request_snapshot(state: ReplicaState, sent: AppendEntries) -> None:
     received = 0 if state.incoming is None else len(state.incoming.state)
     state.send(
         sent.sender.name,
--- a/redwingstream/consensus/joining.py
+++ b/redwingstream/consensus/group_formation.py
@@ -1,11 +1,11 @@
-"""How replicas with empty folders form a group, once and never again."""
+"""Formation of the first group, by replicas whose data folders are empty."""
 
 from redwingstream.consensus.messages import Hello, Snapshot, Voter
 from redwingstream.consensus.state import ReplicaState
 
 
 def look_for_group(state: ReplicaState) -> None:
-    """Ask every other replica whether there is a group."""
+    """Ask every other replica for the group."""
     hello = Hello(state.myself, ())
     for name in state.others:
         state.send(name, hello)
@@ -13,7 +13,7 @@
 
 
 def on_hello(state: ReplicaState, hello: Hello) -> None:
-    """Answer a replica that looks for a group, or learn of one."""
+    """Answer a request for the group, or adopt the group of an answer."""
     group = state.log.group
     if group:
         if not hello.group:
@@ -27,14 +27,14 @@
         _form_if_all_fresh(state)
 
 
-def found(state: ReplicaState, group: tuple[Voter, ...]) -> None:
-    """Take the first group of replicas that the settings do not name.
+def adopt_founding_group(state: ReplicaState, group: tuple[Voter, ...]) -> None:
+    """Adopt the first group of a resizable group.
 
     Notes
     -----
-    Only a replica that knows no group takes one, and it keeps the first that
-    it was told.  The first election needs all votes of a group, so of two
-    groups that share a replica one at most ever accepts anything.
+    Only a replica that knows no group adopts one, and it keeps the first one.
+    The first election needs the votes of the whole group, so of two groups that
+    share a replica at most one ever commits anything.
     """
     if not state.log.group and state.myself in group:
         _adopt(state, tuple(sorted(group, key=_name_of)))
@@ -42,8 +42,8 @@
 
 def _form_if_all_fresh(state: ReplicaState) -> None:
     # A majority of empty folders may be a majority of lost disks, and a group
-    # formed by it would have forgotten what was accepted.  Only when all say
-    # that they are empty nothing can have been accepted.
+    # that they form would have lost committed entries.  Nothing can have been
+    # committed only if all replicas report that they are empty.
     if state.log.group or len(state.fresh_by_name) < len(state.others):
         return
     voters = (state.myself, *state.fresh_by_name.values())
--- a/redwingstream/consensus/hearing.py
+++ b/redwingstream/consensus/leader_contact.py
@@ -1,16 +1,16 @@
-"""When a leader last heard those that count."""
+"""When a leader last heard from a majority."""
 
-from redwingstream.consensus.messages import UNNAMED, Voter
-from redwingstream.consensus.quorum import agreed
+from redwingstream.consensus.messages import UNKNOWN_IDENTITY, Voter
+from redwingstream.consensus.quorum import quorum_value
 from redwingstream.consensus.state import Leader, ReplicaState
 
 
 def confirmed_at(state: ReplicaState, leader: Leader, now: float) -> float:
-    """Return when a majority last answered this leader."""
+    """Return the time in seconds at which a majority last answered."""
     heard_at = {state.myself: now}
     for name, progress in leader.progress_by_name.items():
         heard_at[Voter(name, progress.identity)] = progress.heard_at
-    return max(agreed(state.groups, heard_at), leader.since)
+    return max(quorum_value(state.groups, heard_at), leader.elected_at)
 
 
 def hears_majority(state: ReplicaState, leader: Leader, now: float) -> bool:
@@ -19,7 +19,10 @@
     for group in state.groups:
         for voter in group:
             progress = leader.progress_by_name.get(voter.name)
-            if progress and progress.identity in {UNNAMED, voter.identity}:
+            if progress and progress.identity in {
+                UNKNOWN_IDENTITY,
+                voter.identity,
+            }:
                 heard_at[voter] = progress.heard_at
     oldest = now - state.timing.election_max
-    return agreed(state.groups, heard_at) >= oldest
+    return quorum_value(state.groups, heard_at) >= oldest
--- a/redwingstream/consensus/sending.py
+++ b/redwingstream/consensus/leader_messages.py
@@ -1,4 +1,4 @@
-"""What a leader sends: one message to each replica at a time."""
+"""Messages that a leader sends to the other replicas."""
 
 from redwingstream.consensus.messages import (
     AppendEntries,
@@ -14,25 +14,26 @@
 
 
 def send_to_idle(state: ReplicaState, leader: Leader, now: float) -> None:
-    """Send to all replicas that owe no answer.
+    """Send to each replica that has answered its last message.
 
     Notes
     -----
-    One message to each replica is under way at a time.  A slow one costs no
-    memory, and gets all that has gathered with the next message.
+    Each replica has one unanswered message at a time.  A slow replica thus
+    takes no memory for queued messages, and gets the entries that have
+    accumulated with its next message.
     """
     for name, progress in leader.progress_by_name.items():
-        if not progress.waiting:
+        if not progress.awaits_answer:
             send_next(state, leader, name, now)
 
 
 def send_next(
     state: ReplicaState, leader: Leader, name: str, now: float
 ) -> None:
-    """Send a replica what it needs next: entries or a part of a snapshot."""
+    """Send a replica its next entries or the next part of a snapshot."""
     progress = leader.progress_by_name[name]
     progress.sent_at = now
-    progress.waiting = True
+    progress.awaits_answer = True
     if progress.snapshot_offset is None:
         state.send(name, _next_entries(state, leader, progress))
     else:
@@ -43,13 +44,13 @@
     state: ReplicaState, leader: Leader, progress: Progress
 ) -> AppendEntries:
     log = state.log
-    previous = max(progress.following - 1, log.base_index)
+    previous = max(progress.next_index - 1, log.base_index)
     return AppendEntries(
         state.term,
         state.myself,
         previous,
         log.term_at(previous) or 0,
-        _batch(log.from_index(previous + 1)),
+        _batch(log.entries_from(previous + 1)),
         state.commit,
         leader.round,
     )
--- a/redwingstream/consensus/log.py
+++ b/redwingstream/consensus/log.py
@@ -1,4 +1,4 @@
-"""The entries that a replica holds in memory, above a snapshot."""
+"""The log entries that a replica holds in memory, and its snapshot."""
 
 from collections.abc import Iterable
 
@@ -24,16 +24,16 @@
 
 @attrs.frozen
 class _GroupChange:
-    """An entry that changes who has to agree.
+    """An entry that changes the groups that have to agree.
 
     Parameters
     ----------
     index : int
-        Its index.
+        Index of the entry.
     group : tuple of Voter
-        Who counts from then on.
+        Voters from then on.
     joining : ReadmitReplica or None
-        The change that waits to be accepted.
+        The change that is in progress from then on.
     """
 
     index: int
@@ -50,10 +50,11 @@
     snapshot : Snapshot or None
         None for a replica that knows no group yet.
     entries : list of Entry
-        Without gaps, from ``base_index + 1`` on.
+        Entries without gaps, from ``base_index + 1`` on.
     base_index, base_term : int
-        Of the entry before the first one held.  The base may lie below the
-        snapshot, so that a replica a little behind still gets entries.
+        Index and term of the entry before the first one held.  The base may
+        be below the snapshot, so that a replica that is slightly behind still
+        gets entries.
     """
 
     snapshot: Snapshot | None = None
@@ -63,9 +64,9 @@
     _changes: list[_GroupChange] = attrs.field(factory=list, init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Find the changes of the group among the entries."""
+        """Record the changes of the group among the entries."""
         for entry in self.entries:
-            self._note_group(entry)
+            self._record_group_change(entry)
 
     @property
     def last_index(self) -> int:
@@ -79,16 +80,16 @@
 
     @property
     def snapshot_index(self) -> int:
-        """Index that the snapshot contains; 0 without one."""
+        """Index of the last entry in the snapshot; 0 without one."""
         return 0 if self.snapshot is None else self.snapshot.index
 
     @property
     def group(self) -> Group:
-        """Who counts for a majority, by the last entry that says so.
+        """Voters, by the last entry that changes them.
 
         Notes
         -----
-        An entry counts as soon as it is in the log, accepted or not.
+        An entry takes effect as soon as it is in the log, committed or not.
         """
         if self._changes:
             return self._changes[-1].group
@@ -96,26 +97,26 @@
 
     @property
     def joining(self) -> ReadmitReplica | None:
-        """The change of the group that is under way; None when there is none.
+        """Change of the group that is in progress, or None.
 
         Notes
         -----
-        While there is one, the group before it and the one after it have to
+        During a change both the group before it and the one after it have to
         agree; see :mod:`redwingstream.consensus.quorum`.
         """
         return self._changes[-1].joining if self._changes else None
 
-    def group_change_after(self, index: int) -> bool:
+    def has_group_change_after(self, index: int) -> bool:
         """Whether an entry above an index changes the group."""
         return bool(self._changes) and self._changes[-1].index > index
 
     def is_joining_at(self, index: int) -> bool:
-        """Whether a change of the group was under way after an entry."""
+        """Whether a change of the group was in progress after an entry."""
         before = [one for one in self._changes if one.index <= index]
         return bool(before) and before[-1].joining is not None
 
     def group_at(self, index: int) -> Group:
-        """Who counted for a majority after an entry."""
+        """Voters after an entry."""
         group = () if self.snapshot is None else self.snapshot.group
         for change in self._changes:
             if change.index <= index:
@@ -130,20 +131,20 @@
             return self.entries[index - self.base_index - 1].term
         return None
 
-    def from_index(self, index: int) -> list[Entry]:
+    def entries_from(self, index: int) -> list[Entry]:
         """Return the entries from an index on."""
         return self.entries[index - self.base_index - 1 :]
 
     def append(self, fresh: Iterable[Entry]) -> None:
-        """Add entries; the first one replaces all from its index on."""
+        """Append entries; the first one replaces all from its index on."""
         for entry in fresh:
             if entry.index <= self.last_index:
-                self._cut(entry.index)
+                self._truncate(entry.index)
             self.entries.append(entry)
-            self._note_group(entry)
+            self._record_group_change(entry)
 
     def compact(self, snapshot: Snapshot, kept: int) -> None:
-        """Take a snapshot of own state, and keep some entries below it."""
+        """Set a snapshot of the own state, and keep some entries below it."""
         base_index = max(self.base_index, snapshot.index - kept)
         base_term = self.term_at(base_index) or 0
         self.entries = self.entries[base_index - self.base_index :]
@@ -155,38 +156,38 @@
         ]
 
     def install(self, snapshot: Snapshot) -> None:
-        """Take a leader's snapshot; entries that follow it stay."""
+        """Set a leader's snapshot; entries that follow it are kept."""
         follows = self.term_at(snapshot.index) == snapshot.term
-        rest = self.from_index(snapshot.index + 1) if follows else []
+        rest = self.entries_from(snapshot.index + 1) if follows else []
         self.snapshot = snapshot
         self.base_index = snapshot.index
         self.base_term = snapshot.term
         self.entries = rest
         self._changes = []
         for entry in rest:
-            self._note_group(entry)
+            self._record_group_change(entry)
 
-    def _cut(self, index: int) -> None:
+    def _truncate(self, index: int) -> None:
         self.entries = self.entries[: index - self.base_index - 1]
         while self._changes and self._changes[-1].index >= index:
             self._changes.pop()
 
-    def _note_group(self, entry: Entry) -> None:
+    def _record_group_change(self, entry: Entry) -> None:
         if entry.kind not in _GROUP_KINDS or entry.index <= self.snapshot_index:
             return
         change = messages.decode(entry.kind, entry.body)
         match change:
             case JoinReplica(change=joining):
-                noted = _GroupChange(entry.index, self.group, joining)
+                recorded = _GroupChange(entry.index, self.group, joining)
             case _:
-                noted = _GroupChange(
-                    entry.index, changed_group(self.group, change)
+                recorded = _GroupChange(
+                    entry.index, apply_group_change(self.group, change)
                 )
-        self._changes.append(noted)
+        self._changes.append(recorded)
 
 
-def changed_group(group: Group, change: ReadmitReplica) -> Group:
-    """Return a group as it is after a change."""
+def apply_group_change(group: Group, change: ReadmitReplica) -> Group:
+    """Return the group after a change."""
     replaced = {change.voter.name, change.instead_of}
     others = (voter for voter in group if voter.name not in replaced)
     return tuple(sorted((*others, change.voter), key=_name_of))
--- a/redwingstream/consensus/messages.py
+++ b/redwingstream/consensus/messages.py
@@ -1,25 +1,25 @@
-"""What replicas send each other, and the entries that they agree on."""
+"""Messages between replicas, and the log entries that they replicate."""
 
 import attrs
 
 from redwingstream.wire.messages import message
 
-UNNAMED = 0
-"""Identity of a replica that has not been heard yet."""
+UNKNOWN_IDENTITY = 0
+"""Identity of a replica that has not sent any message yet."""
 
 
 @attrs.frozen
 class Voter:
-    """A replica that counts for a majority.
+    """A replica that counts towards a majority.
 
     Parameters
     ----------
     name : str
         ``IP:PORT`` of its process.
     identity : int
-        Random number drawn when its data folder was made.  A replica that
-        lost its disk comes back under another one, so that it is not taken
-        for the one that remembers its votes and entries.
+        Random number drawn when its data folder was created.  A replica
+        that lost its disk returns under another one, so that it is not
+        mistaken for the replica that remembers its votes and entries.
     """
 
     name: str
@@ -33,9 +33,9 @@
     Parameters
     ----------
     index : int
-        Its place, from 1.
+        Position in the log, from 1.
     term : int
-        Term of the leader that made it.
+        Term of the leader that appended it.
     kind : int
         Kind number of the command.
     body : bytes
@@ -50,16 +50,17 @@
 
 @attrs.frozen
 class Snapshot:
-    """The state after an entry, in place of all entries up to it.
+    """State after an entry; replaces all entries up to that one.
 
     Parameters
     ----------
     index, term : int
-        Of the last entry that is contained; 0 for a group just formed.
+        Index and term of the last entry that it contains; 0 for a group that
+        has just been formed.
     group : tuple of Voter
-        Who counts for a majority at that point.
+        Voters after that entry.
     state : bytes
-        The state machine's.
+        Encoded state of the state machine.
     """
 
     index: int
@@ -70,20 +71,22 @@
 
 @message(kind=32)
 class VoteRequest:
-    """A candidate asks for a vote, or whether it would get one.
+    """Request for a vote, or for a pre-vote.
 
     Parameters
     ----------
     term : int
-        Term in which it wants to lead.
+        Term in which the sender wants to lead.
     sender : Voter
         The candidate.
     last_index, last_term : int
-        Of its last entry.
+        Index and term of the candidate's last entry.
     pre : bool
-        True when it only asks; nobody's term or vote changes then.
+        True for a pre-vote: it only asks whether a vote would be granted, and
+        changes no replica's term or vote.
     handed_over : bool
-        True when the former leader told it to take over.
+        True when the former leader has handed its leadership over to the
+        sender.
     """
 
     term: int
@@ -106,7 +109,7 @@
 
 @message(kind=34)
 class AppendEntries:
-    """The leader's entries, or only its sign of life.
+    """Entries of the leader, or a heartbeat without any.
 
     Parameters
     ----------
@@ -115,13 +118,13 @@
     sender : Voter
         The leader.
     previous_index, previous_term : int
-        Of the entry before the first one sent.
+        Index and term of the entry before the first one sent.
     entries : tuple of Entry
-        Without gaps.
+        Entries without gaps.
     commit : int
-        Index up to which the leader knows entries as accepted.
+        Index up to which the leader knows entries to be committed.
     round : int
-        Number that the answer repeats; linearizable reads count on it.
+        Number that the answer repeats; confirms linearizable reads.
     """
 
     term: int
@@ -144,16 +147,17 @@
     sender : Voter
         The answering replica.
     accepted : bool
-        False when the entry before the first one is not there.
+        False when the sender's log lacks the entry before the first one.
     match : int
-        Synced index up to which its log is the leader's; where not accepted,
-        a hint from which entry on to try next.
+        Synced index up to which its log equals the leader's; if not accepted,
+        the index of the entry after which the leader should try next.
     round : int
-        Of the message that is answered.
+        Round of the message that is answered.
     wants_snapshot : bool
-        True for a replica that knows no group yet.
+        True for a replica that knows no group yet, or whose snapshot is
+        incomplete.
     received : int
-        Bytes of a snapshot that it holds so far.
+        Bytes of the snapshot that it has received so far.
     """
 
     term: int
@@ -167,7 +171,7 @@
 
 @message(kind=36)
 class SnapshotPart:
-    """A part of the leader's snapshot.
+    """One part of the leader's snapshot.
 
     Parameters
     ----------
@@ -176,9 +180,10 @@
     sender : Voter
         The leader.
     snapshot : Snapshot
-        With this part of its state only.
+        The snapshot, with only this part of its state.
     offset, size : int
-        Where the part stands in the state, and the state's whole size.
+        Position of the part in the state, and size of the whole state, in
+        bytes.
     round : int
         As in :class:`AppendEntries`.
     """
@@ -193,7 +198,7 @@
 
 @message(kind=37)
 class TakeOver:
-    """A leader that stops tells a replica to stand for election at once."""
+    """Tells a replica to start an election at once, since the leader stops."""
 
     term: int
     sender: Voter
@@ -201,14 +206,14 @@
 
 @message(kind=38)
 class Hello:
-    """A replica without a group looks for one, or is answered.
+    """Request for the group, or the answer to one.
 
     Parameters
     ----------
     sender : Voter
-        Who sends it.
+        The sending replica.
     group : tuple of Voter
-        The group that it knows; empty when it knows none.
+        Group that the sender knows; empty when it knows none.
     """
 
     sender: Voter
@@ -217,21 +222,20 @@
 
 @message(kind=40)
 class NoOperation:
-    """First entry of a term; by it a leader learns what is accepted."""
+    """First entry of a term; commits the entries of earlier terms with it."""
 
 
 @message(kind=41)
 class ReadmitReplica:
-    """A replica counts from now on; follows an accepted ``JoinReplica``.
+    """Completes a change of the group; follows a committed ``JoinReplica``.
 
     Parameters
     ----------
     voter : Voter
-        Who has the place of its name from now on.  Without a place of its name
-        the group grows by one.
+        New voter.  It replaces the voter of the same name; if there is none
+        and ``instead_of`` is empty, the group grows by one.
     instead_of : str
-        Name of the replica whose place it takes; empty for the place of its
-        own name.
+        Name of the voter that it replaces; empty for the one of its own name.
     """
 
     voter: Voter
@@ -240,12 +244,12 @@
 
 @message(kind=58)
 class JoinReplica:
-    """A replica has caught up and is to count; both groups agree from now on.
+    """Starts a change of the group; from now on both groups have to agree.
 
     Parameters
     ----------
     change : ReadmitReplica
-        What ends this.
+        Entry that completes the change.
     """
 
     change: ReadmitReplica
--- a/redwingstream/consensus/state.py
+++ b/redwingstream/consensus/state.py
@@ -1,4 +1,4 @@
-"""Everything that a replica knows, and its role."""
+"""State of a replica, and its role."""
 
 import random
 
@@ -10,39 +10,39 @@
     Outgoing,
     Peer,
 )
-from redwingstream.consensus.log import Group, Log, changed_group
+from redwingstream.consensus.log import Group, Log, apply_group_change
 from redwingstream.consensus.messages import ReplicaMessage, Voter
 
 DEFAULT_HEARTBEAT = 0.1
 DEFAULT_ELECTION_MIN = 0.5
 DEFAULT_ELECTION_MAX = 1.0
-# A replica that has heard no leader since its start, or whose question whether
-# it would be elected had no answer, asks again after such a time.  Asking is
-# harmless: nobody's term changes, and who hears a leader says no.  A leader is
-# heard each 0.1 s, so one that runs is heard before.
+# Time until the next pre-vote of a replica that has heard no leader since its
+# start, or whose last pre-vote was not answered.  A pre-vote is harmless: it
+# changes no term, and replicas that hear a leader refuse it.  A leader sends a
+# heartbeat every 0.1 s, so a running one is heard before this time is over.
 DEFAULT_ASK_MIN = 0.15
 DEFAULT_ASK_MAX = 0.35
-# Longer than an election and a restarted process take, so that a restart does
-# not cost a replica its place; shorter than what users allow a successor to
-# catch up (4 s), with the time for two entries left.
+# Longer than an election and the restart of a process, so that a voter is not
+# replaced because of a restart.  Shorter than the 4 s that users allow until a
+# successor has caught up, with time left to commit two entries.
 DEFAULT_REPLACE_AFTER = 2.5
 
 
 @attrs.frozen
 class Timing:
-    """Timeouts in seconds; they detect, and no promise hangs on them.
+    """Timeouts in seconds; they affect liveness only, not safety.
 
     Parameters
     ----------
     heartbeat : float
-        Between two signs of life of a leader.
+        Interval between two heartbeats of a leader.
     election_min, election_max : float
-        A follower that hears no leader stands for election after a random
+        A follower that hears no leader starts an election after a random
         time between these; a leader that hears no majority for the longer
-        one stops leading.
+        one steps down.
     ask_min, ask_max : float
-        Times between which a replica asks whether it would be elected, while
-        it has heard no leader at all.
+        A replica that has heard no leader repeats its pre-vote after a random
+        time between these.
     """
 
     heartbeat: float = DEFAULT_HEARTBEAT
@@ -54,16 +54,16 @@
 
 @attrs.frozen
 class GroupPolicy:
-    """How a group that is not named by the settings chooses its members.
+    """How a group that the settings do not list chooses its voters.
 
     Parameters
     ----------
     size : int
-        How many replicas count; 0 for a group that the settings name.
+        Number of voters; 0 for a fixed group that the settings list.
     zone : str
         This replica's availability zone.
     replace_after : float
-        Seconds of silence after which another replica takes a place.
+        Seconds of silence after which another replica replaces a voter.
     """
 
     size: int = 0
@@ -81,20 +81,21 @@
     Parameters
     ----------
     deadline : float
-        When it stands for election.
+        Time in seconds at which it starts a pre-vote.
     leader : str
         Name of the leader; empty when unknown.
     heard_at : float
-        When the leader was last heard.
-    current_at : float
-        When it last held all that its leader knew as accepted, and the leader
-        knew all that was accepted before its term.
+        Time in seconds at which the leader was last heard.
+    caught_up_at : float
+        Time in seconds at which it last held all entries that its leader knew
+        to be committed, while the leader knew all that were committed before
+        its term.
     """
 
     deadline: float
     leader: str = ''
     heard_at: float = float('-inf')
-    current_at: float = float('-inf')
+    caught_up_at: float = float('-inf')
 
 
 @attrs.define
@@ -104,11 +105,11 @@
     Parameters
     ----------
     deadline : float
-        When it gives up and tries again.
+        Time in seconds at which it gives up and tries again.
     pre : bool
-        True while it only asks whether it would be elected.
+        True during a pre-vote, which only asks whether it would be elected.
     granted : set of Voter
-        Who said yes, itself included.
+        Replicas that granted their vote, itself included.
     """
 
     deadline: float
@@ -118,34 +119,34 @@
 
 @attrs.define
 class Progress:
-    """What a leader knows of another replica.
+    """What a leader knows about another replica.
 
     Parameters
     ----------
-    following : int
+    next_index : int
         Index of the next entry to send.
     identity : int
-        As it last named itself; 0 before it was heard.
-    match : int
-        Index up to which its log is known to be the leader's, and synced.
-    round : int
+        Identity in its last answer; 0 before it has answered.
+    match_index : int
+        Index up to which its log is known to equal the leader's, and synced.
+    answered_round : int
         Highest round that it has answered.
     heard_at, sent_at : float
-        Times of its last answer and of the last message to it.
-    waiting : bool
+        Times in seconds of its last answer and of the last message to it.
+    awaits_answer : bool
         True while an answer is outstanding.
     snapshot_offset : int or None
-        Where the next part of the snapshot begins; None while it gets
-        entries.
+        Position in bytes of the next part of the snapshot to send; None while
+        entries are sent.
     """
 
-    following: int
+    next_index: int
     identity: int = 0
-    match: int = 0
-    round: int = 0
+    match_index: int = 0
+    answered_round: int = 0
     heard_at: float = float('-inf')
     sent_at: float = float('-inf')
-    waiting: bool = False
+    awaits_answer: bool = False
     snapshot_offset: int | None = None
 
 
@@ -164,25 +165,25 @@
     Parameters
     ----------
     progress_by_name : dict
-        The other replicas.
+        Progress of each other replica.
     first_index : int
         Index of the first entry of its term.
-    since : float
-        When it was elected.
-    synced : int
+    elected_at : float
+        Time in seconds at which it was elected.
+    synced_index : int
         Index up to which its own entries are durable.
     round : int
         Number of its current round of messages.
     reads : list of PendingRead
         Oldest first.
     handing_over : bool
-        True once it has been told to stop; it takes no commands any more.
+        True once it hands its leadership over; it rejects commands then.
     """
 
     progress_by_name: dict[str, Progress]
     first_index: int
-    since: float
-    synced: int = 0
+    elected_at: float
+    synced_index: int = 0
     round: int = 1
     reads: list[PendingRead] = attrs.field(factory=list)
     handing_over: bool = False
@@ -190,7 +191,7 @@
 
 @attrs.define
 class IncomingSnapshot:
-    """A leader's snapshot as far as it has arrived."""
+    """The received parts of a leader's snapshot."""
 
     index: int
     term: int
@@ -199,46 +200,47 @@
 
 @attrs.define
 class ReplicaState:
-    """Everything that a replica knows.
+    """All state of a replica.
 
     Parameters
     ----------
     myself : Voter
         Its name and identity.
     names : tuple of str
-        All replicas of the settings, itself included; empty when the group
-        is resized among those that are heard.
-    sizing : Sizing
-        How the group is resized.
+        All replicas in the settings, itself included; empty for a resizable
+        group.
+    group_policy : GroupPolicy
+        How the group chooses its voters.
     timing : Timing
         Timeouts.
     jitter : random.Random
-        Spreads elections.
+        Draws election timeouts.
     log : Log
         Entries and snapshot.
     term, vote
         See :class:`~redwingstream.consensus.events.HardState`.
     commit : int
-        Index up to which entries are known as accepted.
+        Index up to which entries are known to be committed.
     applied : int
-        Index up to which they were handed out to be applied.
+        Index up to which entries were passed to the driver to be applied.
     role : Follower, Candidate or Leader
-        What it does.
+        Its role in the current term.
     fresh_by_name : dict
         Replicas without a group that were heard, while it has none itself.
     peer_by_name : dict
-        Replicas that run now, in a group that is resized.
+        Other replicas that run now, for a resizable group.
     incoming : IncomingSnapshot or None
-        A snapshot under way.
+        A snapshot that is being received.
     next_hello : float
-        When it asks for a group again, while it knows none.
+        Time in seconds at which it asks for the group again, while it knows
+        none.
     effects : Effects
-        What the current step wants done.
+        Effects collected during the current step.
     """
 
     myself: Voter
     names: tuple[str, ...]
-    sizing: GroupPolicy
+    group_policy: GroupPolicy
     timing: Timing
     jitter: random.Random
     log: Log
@@ -256,7 +258,7 @@
     @property
     def others(self) -> tuple[str, ...]:
         """Names of the other replicas."""
-        if not self.sizing.size:
+        if not self.group_policy.size:
             return tuple(
                 name for name in self.names if name != self.myself.name
             )
@@ -267,52 +269,52 @@
 
     @property
     def groups(self) -> tuple[Group, ...]:
-        """The groups that have to agree; two while a change is under way."""
+        """Groups that have to agree; two while a change is in progress."""
         group = self.log.group
         joining = self.log.joining
         if joining is None:
             return (group,)
-        return (group, changed_group(group, joining))
+        return (group, apply_group_change(group, joining))
 
     def is_voter(self, voter: Voter) -> bool:
-        """Whether a replica counts under its present identity."""
+        """Whether a replica is a voter under its present identity."""
         return any(voter in group for group in self.groups)
 
-    def has_place(self, name: str) -> bool:
-        """Whether a replica's name has a place, under whichever identity."""
+    def has_voter_named(self, name: str) -> bool:
+        """Whether a replica of this name is a voter, under any identity."""
         return any(voter.name == name for voter in self.log.group)
 
     def send(self, target: str, message: ReplicaMessage) -> None:
-        """Have a message sent once this step is durable."""
+        """Queue a message to be sent once this step is durable."""
         self.effects.outgoing.append(Outgoing(target, message))
 
-    def remember(self, term: int, vote: str) -> None:
-        """Set term and vote, and have them stored."""
+    def store_vote(self, term: int, vote: str) -> None:
+        """Set term and vote, and request that they are stored."""
         self.term = term
         self.vote = vote
         self.effects.hard_state = HardState(term, vote)
 
-    def follow(self, now: float, leader: str = '') -> None:
-        """Become a follower, or stay one, with a new deadline."""
+    def become_follower(self, now: float, leader: str = '') -> None:
+        """Become a follower, or remain one, with a new deadline."""
         heard_at = now if leader else float('-inf')
         deadline = now + self.election_timeout()
         self.role = Follower(deadline, leader, heard_at)
 
     def election_timeout(self) -> float:
-        """Draw a random time in seconds, so that elections seldom collide."""
+        """Draw a random time in seconds, so that elections rarely collide."""
         timing = self.timing
         return self.jitter.uniform(timing.election_min, timing.election_max)
 
-    def ask_timeout(self) -> float:
-        """Draw a random time in seconds until it is asked for votes again."""
+    def pre_vote_timeout(self) -> float:
+        """Draw a random time in seconds until the next pre-vote."""
         return self.jitter.uniform(self.timing.ask_min, self.timing.ask_max)
 
     def commit_up_to(self, index: int) -> None:
-        """Hand out the entries that are now known as accepted."""
+        """Pass on the entries that are now known to be committed."""
         if index <= self.commit:
             return
         self.commit = index
         wanted = index - self.applied
-        fresh = self.log.from_index(self.applied + 1)[:wanted]
+        fresh = self.log.entries_from(self.applied + 1)[:wanted]
         self.effects.committed.extend(fresh)
         self.applied = index
--- a/redwingstream/consensus/tests/test_core.py
+++ b/redwingstream/consensus/tests/test_core.py
@@ -1,4 +1,4 @@
-"""Decisions of one replica, event by event."""
+"""Decisions of one replica on single events."""
 
 import random
 
@@ -12,6 +12,10 @@
     Synced,
     Ticked,
 )
+from redwingstream.consensus.leader_messages import (
+    MAX_BATCH_BYTES,
+    SNAPSHOT_PART_BYTES,
+)
 from redwingstream.consensus.messages import (
     AppendAnswer,
     AppendEntries,
@@ -22,10 +26,6 @@
     Voter,
     VoteRequest,
 )
-from redwingstream.consensus.sending import (
-    MAX_BATCH_BYTES,
-    SNAPSHOT_PART_BYTES,
-)
 from redwingstream.consensus.state import Timing
 
 GROUP = (Voter('a', 1), Voter('b', 2), Voter('c', 3))
@@ -69,21 +69,23 @@
 
 
 class TestCommit:
-    """What counts as accepted."""
+    """When entries are committed."""
 
-    def test_an_old_entry_counts_only_with_one_of_the_term(self) -> None:
-        """An entry that a majority holds is replaced all the same.
+    def test_an_earlier_term_commits_only_with_an_entry_of_the_own(
+        self,
+    ) -> None:
+        """An entry of an earlier term is not committed by copies alone.
 
         Entry 1 of term 1 is on two replicas, and a third one has another
-        entry 1 of term 2, with which it can still be elected.  Only an entry
-        of the leader's own term keeps it from that.
+        entry 1 of term 2, with which it can still be elected and replace it.
+        Only an entry of the leader's own term prevents that.
         """
         leader = make_leader(Entry(1, 1, KIND, b''))
         assert not leader.step(answered(1), 2.1).committed
         committed = leader.step(answered(2), 2.2).committed
         assert [entry.index for entry in committed] == [1, 2]
 
-    def test_its_own_copy_counts_once_it_is_synced(self) -> None:
+    def test_the_leaders_copy_counts_once_synced(self) -> None:
         leader = make_leader(Entry(1, 1, KIND, b''))
         index, _ = leader.propose(Proposed(KIND, b'x'), 2)
         assert leader.step(answered(index), 2.1).committed
@@ -98,7 +100,7 @@
 
 
 class TestVotes:
-    """Who gets a vote."""
+    """Which requests are granted a vote."""
 
     def test_one_vote_a_term(self) -> None:
         replica = make_replica()
@@ -119,15 +121,15 @@
         effects = replica.step(Received(asked), 5)
         assert not sent_to(effects, 'b')[0].granted
 
-    def test_asking_first_changes_no_term(self) -> None:
-        """A replica that returns from a cut makes a good leader step down."""
+    def test_a_pre_vote_changes_no_term(self) -> None:
+        """A replica back from a partition must not depose the leader."""
         replica = make_replica()
         asked = VoteRequest(9, SECOND, 0, 0, pre=True)
         effects = replica.step(Received(asked), 5)
         assert effects.hard_state is None
         assert replica.term == 2
 
-    def test_who_hears_a_leader_gives_no_vote(self) -> None:
+    def test_a_replica_that_hears_a_leader_gives_no_vote(self) -> None:
         replica = make_replica()
         alive = AppendEntries(2, THIRD, 0, 0, (), 0, 1)
         replica.step(Received(alive), 5)
@@ -138,10 +140,10 @@
 
 
 class TestEntries:
-    """A follower's log becomes the leader's."""
+    """A follower's log becomes equal to the leader's."""
 
-    def test_a_late_message_cuts_nothing(self) -> None:
-        """An entry that was acknowledged disappears.
+    def test_a_late_message_truncates_nothing(self) -> None:
+        """A delayed message must not remove an acknowledged entry.
 
         The leader sends entry 1, then 1 and 2; the first message arrives
         after the second one.  Entry 2 must stay.
@@ -172,13 +174,13 @@
 
 
 class TestBounds:
-    """A slow replica costs no memory, and messages have a limit."""
+    """A slow replica takes no memory, and messages have a maximum size."""
 
-    def test_one_message_to_a_silent_replica_is_under_way(self) -> None:
-        """A leader grows without limit because one replica hangs.
+    def test_a_silent_replica_has_one_unanswered_message(self) -> None:
+        """A leader's memory must not grow because one replica hangs.
 
-        The replica answers nothing while hundreds of changes come in; they
-        must not pile up in messages for it.
+        The replica answers nothing while hundreds of changes are proposed;
+        they must not accumulate in messages for it.
         """
         leader = make_leader(Entry(1, 1, KIND, b''))
         sent = []
@@ -191,11 +193,11 @@
         size = sum(len(entry.body) for entry in resent[0].entries)
         assert 0 < size <= MAX_BATCH_BYTES
 
-    def test_a_snapshot_travels_in_parts(self) -> None:
+    def test_a_snapshot_is_sent_in_parts(self) -> None:
         state = bytes(3 * SNAPSHOT_PART_BYTES + 5)
         leader = make_leader(Entry(1, 1, KIND, b''))
         leader.step(answered(2), 2.1)
-        leader.step(SnapshotTaken(2, state, kept=0), 2.1)
+        leader.step(SnapshotTaken(2, state, kept_entries=0), 2.1)
         follower = Consensus(
             Voter('c', 9), ('a', 'b', 'c'), Timing(), random.Random(1), now=0
         )
--- a/redwingstream/consensus/tests/test_resizing.py
+++ b/redwingstream/consensus/tests/test_resizing.py
@@ -1,4 +1,4 @@
-"""How a group that nobody names keeps its size."""
+"""Changes of a resizable group, which the settings do not list."""
 
 import pytest
 
@@ -12,34 +12,34 @@
 LONG = 120
 
 
-def _counting(node: Node) -> set[str]:
+def _voter_names(node: Node) -> set[str]:
     group = node.replica.consensus.log.group
     return {voter.name for voter in group}
 
 
-def _cut(fleet: Fleet, one: str, other: str) -> None:
+def _cut_link(fleet: Fleet, one: str, other: str) -> None:
     fleet.cut_links.update({(one, other), (other, one)})
 
 
-def _led_by(name: str, names: tuple[str, ...] = NAMES) -> Fleet:
-    """Return a fleet that a replica leads; seeds are tried in order."""
+def _fleet_led_by(name: str, names: tuple[str, ...] = NAMES) -> Fleet:
+    """Return a fleet led by a given replica, trying seeds in order."""
     for seed in range(50):
         fleet = Fleet(seed, names, SIZE).form_group()
         leader = fleet.leader()
         if leader is not None and leader.name == name:
             return fleet
-    raise AssertionError(f'{name} leads with no seed')
+    raise AssertionError(f'{name} leads with none of the seeds')
 
 
 class TestGroup:
-    """Who counts."""
+    """Which replicas are voters."""
 
-    def test_three_of_four_count(self) -> None:
+    def test_three_of_four_are_voters(self) -> None:
         fleet = Fleet(1, NAMES, SIZE).form_group()
         fleet.pass_ticks(SOON)
-        assert _counting(fleet.leader()) == {'a', 'b', 'c'}
+        assert _voter_names(fleet.leader()) == {'a', 'b', 'c'}
 
-    def test_the_others_follow(self) -> None:
+    def test_other_replicas_follow_as_learners(self) -> None:
         fleet = Fleet(1, NAMES, SIZE).form_group()
         fleet.pass_ticks(SOON)
         assert len({node.packed_state() for node in fleet.nodes}) == 1
@@ -51,22 +51,22 @@
             node.crash()
             node.start()
         fleet.pass_ticks(LONG)
-        assert len(_counting(fleet.leader())) == 5
+        assert len(_voter_names(fleet.leader())) == 5
 
 
 class TestSilentReplica:
-    """A replica that is gone for good loses its place."""
+    """A voter that is silent for too long is replaced."""
 
-    def test_another_one_takes_its_place(self) -> None:
+    def test_another_replica_replaces_it(self) -> None:
         fleet = Fleet(1, NAMES, SIZE).form_group()
         gone = next(
             node for node in fleet.nodes[:SIZE] if node is not fleet.leader()
         )
         gone.crash()
         fleet.pass_ticks(LONG)
-        assert _counting(fleet.leader()) == set(NAMES) - {gone.name}
+        assert _voter_names(fleet.leader()) == set(NAMES) - {gone.name}
 
-    def test_a_restart_does_not_cost_it(self) -> None:
+    def test_a_restarted_voter_is_not_replaced(self) -> None:
         fleet = Fleet(1, NAMES, SIZE).form_group()
         restarted = next(
             node for node in fleet.nodes[:SIZE] if node is not fleet.leader()
@@ -75,16 +75,16 @@
         fleet.pass_ticks(int(DEFAULT_REPLACE_AFTER / TICK / 2))
         restarted.start()
         fleet.pass_ticks(LONG)
-        assert _counting(fleet.leader()) == {'a', 'b', 'c'}
+        assert _voter_names(fleet.leader()) == {'a', 'b', 'c'}
 
-    def test_nobody_takes_it_while_nobody_is_there(self) -> None:
+    def test_a_voter_stays_while_no_other_replica_runs(self) -> None:
         fleet = Fleet(1, ('a', 'b', 'c'), SIZE).form_group()
         gone = next(node for node in fleet.nodes if node is not fleet.leader())
         gone.crash()
         fleet.pass_ticks(LONG)
-        assert _counting(fleet.leader()) == {'a', 'b', 'c'}
+        assert _voter_names(fleet.leader()) == {'a', 'b', 'c'}
 
-    def test_one_that_returns_follows(self) -> None:
+    def test_a_replaced_voter_that_returns_follows(self) -> None:
         fleet = Fleet(1, NAMES, SIZE).form_group()
         gone = next(
             node for node in fleet.nodes[:SIZE] if node is not fleet.leader()
@@ -93,43 +93,43 @@
         fleet.pass_ticks(LONG)
         gone.start()
         fleet.pass_ticks(LONG)
-        assert len(_counting(fleet.leader())) == SIZE
+        assert len(_voter_names(fleet.leader())) == SIZE
         assert len({node.packed_state() for node in fleet.nodes}) == 1
 
-    def test_its_place_changes_hands_by_both_majorities(self) -> None:
-        """Operators lose a change when a place changes hands in one step.
+    def test_a_replacement_needs_both_majorities(self) -> None:
+        """A committed change is lost if a voter is replaced in one step.
 
-        The leader a has not heard c for long and is about to give its place
-        to d.  Just then it loses b as well.  Were c replaced by d at once, a
-        and d would be two of three and accept entries, while b and c, who
-        know of no change, elect another leader and accept others.
+        The leader a has not heard c for a while and is about to replace it by
+        d.  Just then it loses contact to b as well.  If d replaced c at once, a
+        and d would be two of three and commit entries, while b and c, which
+        know of no replacement, elect another leader and commit others.
         """
-        fleet = _led_by('a')
+        fleet = _fleet_led_by('a')
         fleet.pass_ticks(SOON)
-        _cut(fleet, 'a', 'c')
+        _cut_link(fleet, 'a', 'c')
         fleet.pass_ticks(int(DEFAULT_REPLACE_AFTER / TICK) - 4)
         assert fleet.leader().name == 'a'
-        _cut(fleet, 'a', 'b')
-        _cut(fleet, 'd', 'b')
-        _cut(fleet, 'd', 'c')
+        _cut_link(fleet, 'a', 'b')
+        _cut_link(fleet, 'd', 'b')
+        _cut_link(fleet, 'd', 'c')
         fleet.pass_ticks(LONG)
         fleet.heal_all()
         assert len({node.packed_state() for node in fleet.nodes}) == 1
 
-    def test_one_that_is_given_up_still_helps_after_a_lost_disk(self) -> None:
-        """Operators can change nothing, though two of three disks are whole.
+    def test_a_replaced_voter_still_counts_after_a_lost_disk(self) -> None:
+        """No change is possible although two of three disks are intact.
 
-        The leader a has not heard b for long and gives its place to d.  Before
-        that is accepted, c loses its disk; then b returns with its own.  If b
-        did not count any more, a would wait for c's lost disk for ever, and b
+        The leader a has not heard b for a while and replaces it by d.  Before
+        that is committed, c loses its disk; then b returns with its own.  If b
+        were no voter any more, a would wait forever for c's lost disk, and b
         would never get the vote of a, whose log is longer.
         """
-        fleet = _led_by('a')
+        fleet = _fleet_led_by('a')
         fleet.pass_ticks(SOON)
         fleet.isolate('b')
         fleet.pass_ticks(int(DEFAULT_REPLACE_AFTER / TICK) - 4)
-        _cut(fleet, 'a', 'c')
-        _cut(fleet, 'a', 'd')
+        _cut_link(fleet, 'a', 'c')
+        _cut_link(fleet, 'a', 'd')
         fleet.pass_ticks(8)
         lost = fleet.node_by_name['c']
         lost.crash()
@@ -141,7 +141,7 @@
 
 
 class TestLostDisk:
-    """A replica whose disk was lost counts again under its new identity."""
+    """A replica that lost its disk is readmitted under its new identity."""
 
     @pytest.mark.parametrize('seed', range(5))
     def test_is_readmitted(self, seed) -> None:
@@ -153,13 +153,13 @@
         fleet.pass_ticks(LONG)
         assert fleet.all_are_voters()
 
-    def test_a_second_loss_after_a_power_cut_forgets_nothing(self) -> None:
-        """The tables are gone after the first disk was replaced in time.
+    def test_a_second_loss_after_a_power_failure_loses_nothing(self) -> None:
+        """The tables are lost although the first disk was replaced in time.
 
-        One disk is lost and its replica counts again.  Then all replicas lose
-        power, and a second one comes back with an empty disk.  The two others
-        do not remember which changes were accepted; did they still ask the
-        first lost disk, they would never elect a leader.
+        One disk is lost and its replica is readmitted.  Then all replicas lose
+        power, and a second one returns with an empty disk.  The two others do
+        not know which changes were committed.  If they still needed the vote
+        of the first lost disk, they would never elect a leader.
         """
         fleet = Fleet(3, ('a', 'b', 'c'), SIZE).form_group()
         for lost in (fleet.nodes[0], fleet.nodes[1]):
@@ -173,9 +173,9 @@
 
 
 class TestZones:
-    """A zone never holds more places than it has to."""
+    """Voters are spread evenly over the zones."""
 
-    def test_a_crowded_zone_gives_one_up(self) -> None:
+    def test_a_voter_of_a_crowded_zone_is_replaced(self) -> None:
         names = ('a', 'd', 'g', 'b')
         fleet = Fleet(2, names, SIZE)
         zones = [fleet.node_by_name[name].zone for name in names]
@@ -183,4 +183,4 @@
         assert zones[SIZE] not in zones[:SIZE]
         fleet.form_group()
         fleet.pass_ticks(LONG)
-        assert 'b' in _counting(fleet.leader())
+        assert 'b' in _voter_names(fleet.leader())
--- a/redwingstream/control/__init__.py
+++ b/redwingstream/control/__init__.py
@@ -3,17 +3,19 @@
 Modules
 -------
 settings
-    What an instance is told at its start.
+    Settings of a control instance.
 replica
-    Carries out what the consensus decides: stores, sends, applies.
+    Driver of the consensus: stores entries, sends messages, applies commands.
+replica_factory
+    Opens the replica of a data folder.
 members
-    Announcements and heartbeats.
+    Answers to announcements and heartbeats of members.
 service
-    Calls of operators and other processes.
+    Answers to calls of operators and other processes.
 instance
-    A replica with its socket, ticking.
+    A replica with its socket and its timers.
 recovery
-    The operators' way out when a majority of the disks is lost.
+    Recovery by operators after a majority of the disks was lost.
 role
-    Files, sockets and their end.
+    Lifetime of an instance's files and sockets.
 """
--- a/redwingstream/control/instance.py
+++ b/redwingstream/control/instance.py
@@ -1,4 +1,4 @@
-"""A replica with its socket and its service for members."""
+"""A replica with its socket, its timers and its service for members."""
 
 import asyncio
 import random
@@ -31,14 +31,14 @@
 
 
 class ControlInstance:
-    """A replica with its socket.
+    """A replica with its socket and its timers.
 
     Parameters
     ----------
     settings : ControlSettings
-        What it is told at its start.
+        Settings of the instance.
     folder : Folder
-        Its durable state.
+        Folder of its durable state.
     """
 
     def __init__(self, settings: ControlSettings, folder: Folder) -> None:
@@ -48,10 +48,10 @@
         self._codec = FrameCodec(settings.key)
         self._failure: asyncio.Future[None] = loop.create_future()
         self._datagrams: DatagramSocket | None = None
-        surroundings = ReplicaEnvironment(
+        environment = ReplicaEnvironment(
             self._send, loop.time, loop.call_soon, self._fail
         )
-        self._replica = _make_replica(settings, folder, surroundings)
+        self._replica = _make_replica(settings, folder, environment)
         self._members = MemberService(
             self._replica, settings.lease, random.SystemRandom(), loop.time
         )
@@ -67,7 +67,7 @@
         self._datagrams = datagrams
 
     def receive(self, datagram: bytes, source: tuple[str, int]) -> None:
-        """Take one datagram; what is not authentic is dropped."""
+        """Handle one datagram; drop it if it is not authentic."""
         try:
             opened = self._codec.open(datagram)
         except WireError:
@@ -124,7 +124,7 @@
 
 
 def _make_replica(
-    settings: ControlSettings, folder: Folder, surroundings: ReplicaEnvironment
+    settings: ControlSettings, folder: Folder, environment: ReplicaEnvironment
 ) -> Replica:
     store = ReplicaStore(folder)
     loaded = store.load(partial(secrets.randbits, IDENTITY_BITS))
@@ -133,6 +133,6 @@
         tuple(map(str, settings.replicas)),
         settings.timing,
         random.SystemRandom(),
-        surroundings.clock(),
+        environment.clock(),
     )
-    return Replica(consensus, store, loaded, surroundings)
+    return Replica(consensus, store, loaded, environment)
--- a/redwingstream/control/members.py
+++ b/redwingstream/control/members.py
@@ -1,4 +1,4 @@
-"""Announcements and heartbeats, as a control instance answers them."""
+"""Answers of a control instance to announcements and heartbeats."""
 
 import random
 from collections.abc import Callable
@@ -9,8 +9,8 @@
 from redwingstream.errors import CallFailedError, RedwingstreamError
 from redwingstream.membership.checks import why_malformed
 from redwingstream.membership.leases import (
-    Admitted,
     AdmissionGranted,
+    Admitted,
     Challenged,
     HeldBack,
     Leases,
@@ -31,33 +31,33 @@
 
 
 class MemberService:
-    """Answers members; decides on leases while its replica leads.
+    """Answers members, and decides on leases while its replica leads.
 
     Parameters
     ----------
     replica : Replica
-        Where commands go and what the tables say.
+        Proposes commands and holds the tables.
     lease : float
         Seconds of silence after which a member is removed.
-    chance : random.Random
+    rng : random.Random
         Draws challenges.
     clock : callable
-        Returns the time in seconds.
+        Returns the current time in seconds, by the event loop's clock.
     """
 
     def __init__(
         self,
         replica: Replica,
         lease: float,
-        chance: random.Random,
+        rng: random.Random,
         clock: Callable[[], float],
     ) -> None:
         self._replica = replica
         self._lease = lease
-        self._chance = chance
+        self._rng = rng
         self._clock = clock
         self._leases: Leases | None = None
-        self._under_way: set[object] = set()
+        self._pending_commands: set[object] = set()
 
     def on_announce(self, announce: Announce, boot: int, reply: Reply) -> None:
         """Answer an announcement."""
@@ -99,7 +99,7 @@
             self._propose(command)
 
     def on_tick(self) -> None:
-        """Remove silent members and settle views."""
+        """Propose to remove silent members and to settle views."""
         leases = self._current_leases()
         if leases is None:
             return
@@ -113,12 +113,12 @@
             self._propose(settled)
 
     def _current_leases(self) -> Leases | None:
-        # Before its first entry is accepted a new leader may not yet know
-        # members that its predecessor admitted, and would admit them anew.
+        # Until its first entry is committed, a new leader may not know members
+        # that its predecessor admitted, and would admit them again.
         if not self._replica.consensus.is_ready:
             self._leases = None
         elif self._leases is None:
-            self._leases = Leases(self._lease, self._chance, self._clock())
+            self._leases = Leases(self._lease, self._rng, self._clock())
         return self._leases
 
     def _member(self, host: str) -> Member | None:
@@ -126,21 +126,21 @@
         return state.member_by_host.get(host)
 
     def _propose(self, command: object, reply: Reply | None = None) -> None:
-        # A command that is under way is not proposed again at each tick:
-        # without a majority the log would fill with copies of it.
-        if command in self._under_way:
+        # A pending command is not proposed again at each tick: without a
+        # majority, copies of it would fill the log.
+        if command in self._pending_commands:
             return
 
         def done(outcome: CommandResult | RedwingstreamError) -> None:
-            self._under_way.discard(command)
+            self._pending_commands.discard(command)
             if reply is not None and isinstance(outcome, Member):
                 reply(self._ack(outcome))
 
-        self._under_way.add(command)
+        self._pending_commands.add(command)
         try:
             self._replica.propose(command, done)
         except CallFailedError:
-            self._under_way.discard(command)
+            self._pending_commands.discard(command)
 
     def _ack(self, member: Member) -> HeartbeatAck:
         state = self._replica.machine.state
@@ -152,7 +152,7 @@
         )
 
     def _ack_elsewhere(self, known: Member | None, boot: int) -> HeartbeatAck:
-        # A follower may be behind; what it does not know yet the leader does.
+        # A follower may be behind; the leader knows members that it does not.
         same_run = known is not None and known.boot == boot
         incarnation = known.incarnation if same_run else 0
         state = self._replica.machine.state
--- a/redwingstream/control/recovery.py
+++ b/redwingstream/control/recovery.py
@@ -1,4 +1,4 @@
-"""The operators' way out when a majority of the disks is lost."""
+"""Recovery by operators after a majority of the disks was lost."""
 
 import attrs
 from absl import logging
@@ -15,20 +15,20 @@
 from redwingstream.tables.machine.views import MAX_UNSETTLED_VIEWS, unknown_view
 from redwingstream.tables.rows import EarlierView, PoolView
 
-MOVED_AHEAD = 1000000
-"""By how much revisions jump; the lost replicas held fewer entries more."""
+INDEX_JUMP = 1000000
+"""Jump of the index and of revisions; exceeds the number of lost entries."""
 
 
 @attrs.frozen
-class Recovered:
-    """What a recovered replica goes on from.
+class RecoveryResult:
+    """Position from which a recovered replica continues.
 
     Parameters
     ----------
     index : int
         Index of its last entry.
     revision, config_revision : int
-        Of its tables.
+        Revisions of its tables and of its configuration.
     """
 
     index: int
@@ -38,33 +38,33 @@
 
 def recover_single_replica(
     settings: ControlSettings, confirmed: int | None
-) -> Recovered:
-    """Make the replica of a data folder the only one that counts.
+) -> RecoveryResult:
+    """Make the replica of a data folder the only voter of its group.
 
     Parameters
     ----------
     settings : ControlSettings
-        Of the replica; it must not run.
+        Settings of the replica, which must not run.
     confirmed : int or None
-        Revision of the configuration after which the operator accepts that
-        changes are lost.
+        Configuration revision after which, as the operator confirms, changes
+        may be lost.
 
     Raises
     ------
     SettingError
-        When that is not the revision that the folder holds; nothing is
-        changed, and the text says what may be lost.
+        When ``confirmed`` is not the revision that the folder holds.  Nothing
+        is changed then, and the text says what may be lost.
     StorageError
         ``DATA_MISSING`` when the folder holds no replica of a group.
 
     Notes
     -----
-    To be used by operators only, when a majority of the replicas has lost its
-    disks for good, and on the surviving replica with the highest
-    ``last_index`` in its dump.  Changes that only the lost ones held are gone,
-    and what this one held without knowing whether it was accepted counts as
-    accepted from now on.  All other replicas have to start with empty
-    folders; they are admitted one after the other.
+    Only for operators, when a majority of the replicas has lost its disks
+    permanently; run it on the surviving replica with the highest ``last_index``
+    in its dump.  Changes that only the lost replicas held are gone, and entries
+    that this one held without knowing whether they were committed are committed
+    from now on.  All other replicas have to start with empty folders; they are
+    admitted one after the other.
     """
     with open_folder(settings.data_folder) as folder:
         _, machine = _load(folder)
@@ -72,13 +72,13 @@
         return recover_folder(folder, str(settings.endpoint))
 
 
-def recover_folder(folder: Folder, name: str) -> Recovered:
-    """Do the work of :func:`recover_alone` in an open folder.
+def recover_folder(folder: Folder, name: str) -> RecoveryResult:
+    """Recover in an open folder; see :func:`recover_single_replica`.
 
     Parameters
     ----------
     folder : Folder
-        Durable state of the replica.
+        Folder of the replica's durable state.
     name : str
         ``IP:PORT`` of the replica.
     """
@@ -87,10 +87,11 @@
     hard_state = HardState(loaded.hard_state.term + 1, '')
     ReplicaStore(folder).save_snapshot(snapshot, hard_state, ())
     logging.warning(
-        'control: recovered alone at index %d by operators.', snapshot.index
+        'control: recovered by operators as the only voter, at index %d.',
+        snapshot.index,
     )
     state = machine.state
-    return Recovered(snapshot.index, state.revision, state.config_revision)
+    return RecoveryResult(snapshot.index, state.revision, state.config_revision)
 
 
 def _load(folder: Folder) -> tuple[LoadedState, StateMachine]:
@@ -109,7 +110,7 @@
         return
     zones_out = [mark.zone for mark in state.zone_by_name.values() if mark.out]
     raise SettingError(
-        'every other control instance is given up with what only they hold. '
+        'all other control instances are dropped, with what only they hold. '
         f'This data folder ends at configuration revision '
         f'{state.config_revision}, with {len(state.route_by_key)} routes, '
         f'{len(state.pool_by_name)} pools and zones out of service: '
@@ -133,17 +134,17 @@
     loaded: LoadedState, machine: StateMachine, survivor: Voter
 ) -> Snapshot:
     last = loaded.entries[-1] if loaded.entries else loaded.snapshot
-    index = last.index + MOVED_AHEAD
-    _move_ahead(machine.state, index)
+    index = last.index + INDEX_JUMP
+    _advance_numbers(machine.state, index)
     term = loaded.hard_state.term + 1
     return Snapshot(index, term, (survivor,), machine.pack())
 
 
-def _move_ahead(state: MachineState, index: int) -> None:
-    # Other processes may have taken up revisions that this replica has never
-    # seen.  They would take its tables for older ones and keep what is lost,
-    # their view numbers would fence its views, and a lost incarnation could
-    # be given to another run.  So everything goes on from far above.
+def _advance_numbers(state: MachineState, index: int) -> None:
+    # Other processes may have applied revisions that this replica has never
+    # seen.  They would treat its tables as older and keep the lost ones, their
+    # view numbers would fence its views, and a lost incarnation could be
+    # assigned to another run.  So all numbers continue far above.
     state.revision = index
     state.config_revision = index
     for pool, view in state.view_by_pool.items():
@@ -152,10 +153,10 @@
 
 def _view_after_unknown(view: PoolView, index: int) -> PoolView:
     # Buckets may have moved under views that are lost, with request records
-    # that nobody here can name.  It would show as a replay that runs a second
-    # time.  An earlier view of one member that cannot be reached has no pair
-    # that answers, so homes treat their buckets as recovering for the longest
-    # replay time.
+    # that this replica does not know; a replayed request would then run twice.
+    # An earlier view whose only member cannot be reached has no home and heir
+    # that answer, so homes treat their buckets as recovering for the longest
+    # time in which a request may be replayed.
     unknown = unknown_view(index - 1)
     latest = EarlierView(view.number, view.members)
     chain = (unknown, latest, *view.unsettled)
--- a/redwingstream/control/replica.py
+++ b/redwingstream/control/replica.py
@@ -1,4 +1,4 @@
-"""Carries out what the consensus decides: stores, sends, applies."""
+"""Driver of the consensus: stores entries, sends messages, applies commands."""
 
 import logging
 from collections.abc import Callable
@@ -12,7 +12,7 @@
     HardState,
     Outgoing,
     Proposed,
-    ReadAsked,
+    ReadRequested,
     SnapshotTaken,
     Synced,
 )
@@ -24,7 +24,7 @@
     StorageError,
 )
 from redwingstream.storage.store import LoadedState, ReplicaStore
-from redwingstream.tables.machine.machine import StateMachine, CommandResult
+from redwingstream.tables.machine.machine import CommandResult, StateMachine
 from redwingstream.wire import messages
 
 _logger = logging.getLogger(__name__)
@@ -32,24 +32,24 @@
 SNAPSHOT_EVERY = 1000
 KEPT_ENTRIES = 500
 
-Done = Callable[[CommandResult | RedwingstreamError], None]
+OutcomeCallback = Callable[[CommandResult | RedwingstreamError], None]
 
 
 @attrs.frozen
 class ReplicaEnvironment:
-    """What a replica needs from outside.
+    """Network, clock and event loop of a replica.
 
     Parameters
     ----------
     send : callable
-        Sends a message to another replica; it may be lost.
+        Sends a message to another replica; the message may be lost.
     clock : callable
-        Returns the time in seconds.
+        Returns the current time in seconds, by the event loop's clock.
     schedule : callable
-        Runs a function soon, once for all that comes until then; each run
-        costs one sync.
-    failed : callable
-        Takes the error of the storage that stops this replica.
+        Runs a function soon.  All effects until then are written together,
+        with one sync.
+    on_storage_failure : callable
+        Receives the storage error that stops this replica.
     """
 
     send: Callable[[Outgoing], None]
@@ -60,10 +60,18 @@
 
 @attrs.frozen
 class SnapshotRule:
-    """When entries give way to a snapshot, and how many stay in memory."""
+    """When a snapshot replaces entries, and how many entries stay in memory.
 
-    every: int = SNAPSHOT_EVERY
-    kept: int = KEPT_ENTRIES
+    Parameters
+    ----------
+    interval : int
+        Number of entries applied between two snapshots.
+    kept_entries : int
+        Number of entries below the snapshot that stay in memory.
+    """
+
+    interval: int = SNAPSHOT_EVERY
+    kept_entries: int = KEPT_ENTRIES
 
 
 DEFAULT_SNAPSHOT_RULE = SnapshotRule()
@@ -72,7 +80,7 @@
 @attrs.frozen
 class _Waiter:
     term: int
-    done: Done
+    done: OutcomeCallback
 
 
 class Replica:
@@ -86,15 +94,15 @@
         Durable state.
     loaded : Loaded
         What was stored.
-    surroundings : Surroundings
-        Network, clock and loop.
+    environment : ReplicaEnvironment
+        Network, clock and event loop.
     snapshot_rule : SnapshotRule
-        When entries give way to a snapshot.
+        When a snapshot replaces entries.
 
     Notes
     -----
-    After an error of the storage the replica does and says nothing more.  An
-    answer based on bytes whose sync failed could be taken back by the next
+    After a storage error the replica does nothing and sends nothing any more.
+    An answer based on bytes whose sync failed could be undone by the next
     restart.
     """
 
@@ -103,62 +111,64 @@
         consensus: Consensus,
         store: ReplicaStore,
         loaded: LoadedState,
-        surroundings: ReplicaEnvironment,
+        environment: ReplicaEnvironment,
         snapshot_rule: SnapshotRule = DEFAULT_SNAPSHOT_RULE,
     ) -> None:
         self.consensus = consensus
         self.machine = StateMachine()
         self._store = store
-        self._around = surroundings
+        self._environment = environment
         self._snapshot_rule = snapshot_rule
         self._pending = Effects()
         self._scheduled = False
         self._stopped = False
         self._waiter_by_index: dict[int, _Waiter] = {}
-        self._reader_by_ticket: dict[int, Done] = {}
+        self._reader_by_ticket: dict[int, OutcomeCallback] = {}
         self._next_ticket = 0
         consensus.restore(loaded.hard_state, loaded.snapshot, loaded.entries)
         if loaded.snapshot is not None:
             self.machine.load(loaded.snapshot.state)
 
     def step(self, event: Event) -> None:
-        """Let the consensus take an event."""
+        """Pass an event to the consensus."""
         if self._stopped:
             return
-        self._absorb(self.consensus.step(event, self._around.clock()))
+        self._queue_effects(
+            self.consensus.step(event, self._environment.clock())
+        )
 
-    def propose(self, command: object, done: Done) -> None:
-        """Have a command accepted and applied.
+    def propose(self, command: object, done: OutcomeCallback) -> None:
+        """Propose a command to be committed and applied.
 
         Parameters
         ----------
         command : object
-            A message that the state machine knows.
+            Command of the state machine.
         done : callable
-            Takes the outcome, or a ``CallFailedError`` with ``NO_QUORUM``
-            when it is unknown whether the command will be accepted.
+            Receives the outcome, or a ``CallFailedError`` with ``NO_QUORUM``
+            when it is unknown whether the command will be committed.
 
         Raises
         ------
         CallFailedError
-            When the command was not taken.
+            When the command was rejected.
         """
         self._check_running()
         proposed = Proposed(*messages.encode(command))
-        now = self._around.clock()
+        now = self._environment.clock()
         index, effects = self.consensus.propose(proposed, now)
         self._waiter_by_index[index] = _Waiter(self.consensus.term, done)
-        self._absorb(effects)
+        self._queue_effects(effects)
 
-    def read(self, done: Done) -> None:
-        """Call back once the machine holds all that is accepted by now."""
+    def read(self, done: OutcomeCallback) -> None:
+        """Call back once the machine has applied all commits until now."""
         self._check_running()
         ticket = self._next_ticket
         self._next_ticket += 1
-        now = self._around.clock()
-        effects = self.consensus.read(ReadAsked(ticket), now)
+        now = self._environment.clock()
+        effects = self.consensus.read(ReadRequested(ticket), now)
         self._reader_by_ticket[ticket] = done
-        self._absorb(effects)
+        self._queue_effects(effects)
 
     def _check_running(self) -> None:
         if self._stopped:
@@ -167,7 +177,7 @@
                 ResultCode.DISK_FAILED,
             )
 
-    def _absorb(self, effects: Effects) -> None:
+    def _queue_effects(self, effects: Effects) -> None:
         if effects.is_empty:
             return
         pending = self._pending
@@ -180,7 +190,7 @@
         pending.reads.extend(effects.reads)
         if not self._scheduled:
             self._scheduled = True
-            self._around.schedule(self._flush)
+            self._environment.schedule(self._flush)
 
     def _flush(self) -> None:
         self._scheduled = False
@@ -193,22 +203,22 @@
         except StorageError as error:
             self._stop(error)
         else:
-            self._carry_on(effects)
+            self._finish_flush(effects)
 
-    def _carry_on(self, effects: Effects) -> None:
+    def _finish_flush(self, effects: Effects) -> None:
         for outgoing in effects.outgoing:
-            self._around.send(outgoing)
+            self._environment.send(outgoing)
         self._apply(effects)
         if effects.entries:
             self.step(Synced(self.consensus.log.last_index))
         if not self.consensus.is_leader:
-            self._give_up_waiters()
+            self._fail_waiters()
 
     def _persist(self, effects: Effects) -> None:
         hard_state: HardState = self.consensus.hard_state
         snapshot = effects.snapshot
         if snapshot is not None:
-            rest = self.consensus.log.from_index(snapshot.index + 1)
+            rest = self.consensus.log.entries_from(snapshot.index + 1)
             self._store.save_snapshot(snapshot, hard_state, rest)
         elif effects.entries or effects.hard_state is not None:
             self._store.save(effects.hard_state, effects.entries)
@@ -216,8 +226,8 @@
     def _stop(self, error: StorageError) -> None:
         self._stopped = True
         _logger.error('control: storage failed, this replica stops. %s', error)
-        self._give_up_waiters()
-        self._around.on_storage_failure(error)
+        self._fail_waiters()
+        self._environment.on_storage_failure(error)
 
     def _apply(self, effects: Effects) -> None:
         installed = 0
@@ -248,10 +258,12 @@
             return
         rule = self._snapshot_rule
         index = committed[-1].index
-        if index - self.consensus.log.snapshot_index >= rule.every:
-            self.step(SnapshotTaken(index, self.machine.pack(), rule.kept))
+        if index - self.consensus.log.snapshot_index >= rule.interval:
+            self.step(
+                SnapshotTaken(index, self.machine.pack(), rule.kept_entries)
+            )
 
-    def _give_up_waiters(self) -> None:
+    def _fail_waiters(self) -> None:
         waiting = [waiter.done for waiter in self._waiter_by_index.values()]
         waiting.extend(self._reader_by_ticket.values())
         self._waiter_by_index.clear()
--- a/redwingstream/control/replica_factory.py
+++ b/redwingstream/control/replica_factory.py
@@ -1,4 +1,4 @@
-"""Opens the replica of a data folder."""
+"""Opens the replica whose state is in a data folder."""
 
 import random
 import secrets
@@ -16,27 +16,30 @@
 
 @attrs.frozen
 class OpenedReplica:
-    """A replica and the identity that its folder gives it."""
+    """A replica, and the identity stored in its data folder."""
 
     identity: int
     replica: Replica
 
 
 def open_replica(
-    folder: Folder, name: str, sizing: GroupPolicy, around: ReplicaEnvironment
+    folder: Folder,
+    name: str,
+    group_policy: GroupPolicy,
+    environment: ReplicaEnvironment,
 ) -> OpenedReplica:
-    """Read a data folder, or begin with an empty one.
+    """Open a replica from a data folder, or a new one in an empty folder.
 
     Parameters
     ----------
     folder : Folder
-        Durable state.
+        Folder of the durable state.
     name : str
         ``IP:PORT`` of the replica.
-    sizing : Sizing
-        How its group is resized.
-    around : Surroundings
-        Network, clock and loop.
+    group_policy : GroupPolicy
+        How its group chooses its voters.
+    environment : ReplicaEnvironment
+        Network, clock and event loop.
 
     Raises
     ------
@@ -50,9 +53,9 @@
         (),
         Timing(),
         random.SystemRandom(),
-        around.clock(),
-        sizing,
+        environment.clock(),
+        group_policy,
     )
     return OpenedReplica(
-        loaded.identity, Replica(consensus, store, loaded, around)
+        loaded.identity, Replica(consensus, store, loaded, environment)
     )
--- a/redwingstream/control/role.py
+++ b/redwingstream/control/role.py
@@ -1,4 +1,4 @@
-"""The role of a control instance: files, sockets and their end."""
+"""Lifetime of a control instance's files and sockets."""
 
 import contextlib
 from collections.abc import Iterator
@@ -21,19 +21,19 @@
     Parameters
     ----------
     settings : ControlSettings
-        What it is told at its start.
+        Settings of the instance.
 
     Raises
     ------
     StorageError
-        When its durable state cannot be read or written; the text has the
-        way out.
+        When its durable state cannot be read or written; the text says what
+        to do.
     SettingError
         When its own endpoint is not among the replicas.
 
     Notes
     -----
-    When cancelled it hands its leadership over first, then returns.
+    When it is cancelled, it hands its leadership over and then returns.
     """
     if settings.endpoint not in settings.replicas:
         known = ', '.join(map(str, settings.replicas))
--- a/redwingstream/control/service.py
+++ b/redwingstream/control/service.py
@@ -1,4 +1,4 @@
-"""Calls of operators and other processes, as a control instance answers."""
+"""Answers of a control instance to calls of operators and processes."""
 
 import asyncio
 import json
@@ -6,7 +6,7 @@
 
 import attrs
 
-from redwingstream.control.replica import Done, Replica
+from redwingstream.control.replica import OutcomeCallback, Replica
 from redwingstream.errors import (
     CallFailedError,
     ChangeRefusedError,
@@ -31,14 +31,14 @@
 
 
 class ControlService:
-    """Answers calls.
+    """Answers calls of operators and other processes.
 
     Parameters
     ----------
     replica : Replica
-        Whose state is read and changed.
+        Replica whose state is read and changed.
     host, zone : str
-        Of this instance, for dumps.
+        Name and availability zone of this instance, for dumps.
     timeout : float
         Seconds that a call waits for a majority.
     """
@@ -57,7 +57,7 @@
         Raises
         ------
         RedwingstreamError
-            With the code that the caller gets.
+            With the result code that the caller receives.
         """
         match request:
             case FetchTables(since=since):
@@ -82,12 +82,14 @@
     async def _change(self, request: ChangeRequest) -> ChangeAnswer:
         _check_size(request)
 
-        def start(done: Done) -> None:
+        def start(done: OutcomeCallback) -> None:
             self._replica.propose(request, done)
 
         return await self._wait(start)
 
-    async def _wait(self, start: Callable[[Done], None]) -> CommandResult:
+    async def _wait(
+        self, start: Callable[[OutcomeCallback], None]
+    ) -> CommandResult:
         loop = asyncio.get_running_loop()
         future: asyncio.Future[CommandResult] = loop.create_future()
         start(_resolver(future))
@@ -128,7 +130,7 @@
         )
 
 
-def _resolver(future: asyncio.Future[CommandResult]) -> Done:
+def _resolver(future: asyncio.Future[CommandResult]) -> OutcomeCallback:
     def done(outcome: CommandResult | RedwingstreamError) -> None:
         if future.done():
             return
--- a/redwingstream/control/settings.py
+++ b/redwingstream/control/settings.py
@@ -1,4 +1,4 @@
-"""What a control instance is told at its start."""
+"""Settings of a control instance."""
 
 from pathlib import Path
 
@@ -18,15 +18,16 @@
     Parameters
     ----------
     host : str
-        Name of the host or instance.
+        Name of the control instance.
     endpoint : Endpoint
-        Where it takes frames (UDP) and calls (TCP).
+        Where it receives frames (UDP) and calls (TCP).
     zone : str
         Its availability zone.
     data_folder : Path
-        Where its durable state is kept; its own, on a disk that syncs.
+        Folder of its durable state, not shared with another instance, on a
+        disk that honours sync.
     replicas : tuple of Endpoint
-        All control instances, this one included; the same everywhere.
+        All control instances, this one included; equal on all of them.
     key : bytes
         Key of the fleet; see :class:`redwingstream.wire.frames.FrameCodec`.
     timing : Timing
@@ -34,7 +35,7 @@
     lease : float
         Seconds of silence after which a member is removed.
     change_timeout : float
-        Seconds that an operators' call waits for a majority.
+        Seconds that an operator's call waits for a majority.
     """
 
     host: str
--- a/redwingstream/control/tests/fakes.py
+++ b/redwingstream/control/tests/fakes.py
@@ -19,8 +19,8 @@
 from redwingstream.consensus.state import GroupPolicy, Timing
 from redwingstream.control.replica import (
     Replica,
-    SnapshotRule,
     ReplicaEnvironment,
+    SnapshotRule,
 )
 from redwingstream.errors import CallFailedError, ResultCode, StorageError
 from redwingstream.storage.store import LoadedState, ReplicaStore
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class Sent:
+class SentMessage:
     """A message under way."""
 
     source: str
@@ -72,7 +72,7 @@
     def record_joining(self, log: Log) -> None:
         """A replica that some log is about to count is one to rely on."""
         joining = log.joining
-        if joining and log.group_change_after(self.group_index):
+        if joining and log.has_group_change_after(self.group_index):
             voter = joining.voter
             self.joining.setdefault(voter.name, voter.identity)
 
@@ -93,15 +93,15 @@
             assert winner == request.request_id
 
 
-class WitnessedMachine(StateMachine):
+class CheckedMachine(StateMachine):
     """A state machine that shows the witness what it applies."""
 
-    witness: HistoryChecker
+    checker: HistoryChecker
 
     def apply(self, entry: Entry) -> object:
         """Apply an entry and report it."""
         outcome = super().apply(entry)
-        self.witness.check_entry(entry, self.pack())
+        self.checker.check_entry(entry, self.pack())
         return outcome
 
 
@@ -137,14 +137,14 @@
         except PowerCutError:
             self.crash()
 
-    def found(self, founded: GroupFounded) -> None:
+    def join_first_group(self, founded: GroupFounded) -> None:
         """Join the first group."""
         self.run(lambda replica: replica.step(founded))
 
     def tick(self) -> None:
         """Let the replica look at its timers."""
         if self.fleet.size:
-            heard = PeersUpdated(self.fleet.peers_of(self.name))
+            heard = PeersUpdated(self.fleet.peers_heard_by(self.name))
             self.run(lambda replica: replica.step(heard))
         self.run(lambda replica: replica.step(Ticked()))
 
@@ -174,16 +174,22 @@
             GroupPolicy(fleet.size, self.zone),
         )
         around = ReplicaEnvironment(
-            send=lambda out: fleet.flying.append(Sent(self.name, out)),
+            send=lambda out: fleet.in_transit.append(
+                SentMessage(self.name, out)
+            ),
             clock=lambda: fleet.now,
             schedule=lambda run: run(),
             on_storage_failure=self.failures.append,
         )
         self.replica = Replica(
-            consensus, store, loaded, around, SnapshotRule(every=8, kept=3)
+            consensus,
+            store,
+            loaded,
+            around,
+            SnapshotRule(interval=8, kept_entries=3),
         )
-        machine = WitnessedMachine()
-        machine.witness = fleet.checker
+        machine = CheckedMachine()
+        machine.checker = fleet.checker
         machine.state = self.replica.machine.state
         self.replica.machine = machine
 
@@ -208,7 +214,7 @@
         self.size = size
         self.rng = random.Random(seed)
         self.now: float = 0
-        self.flying: list[Sent] = []
+        self.in_transit: list[SentMessage] = []
         self.cut_links: set[tuple[str, str]] = set()
         self.checker = HistoryChecker()
         self.node_by_name = {name: Node(name, self) for name in names}
@@ -216,7 +222,7 @@
             node.start()
         self.checker.group = self.identity_by_name()
         if size:
-            _found(self)
+            _found_group(self)
 
     @property
     def nodes(self) -> list[Node]:
@@ -229,11 +235,11 @@
         for node in self.nodes:
             if not node.frozen:
                 node.tick()
-        flying = self.flying
-        self.flying = []
+        flying = self.in_transit
+        self.in_transit = []
         self.rng.shuffle(flying)
         for sent in flying:
-            self._pass_on(sent, loss, repeat)
+            self._deliver_with_faults(sent, loss, repeat)
         self.check_leaders()
 
     def identity_by_name(self) -> dict[str, int]:
@@ -312,7 +318,7 @@
         self.node_by_name[fresh] = Node(fresh, self)
         self.node_by_name[fresh].start()
 
-    def peers_of(self, own: str) -> tuple[Peer, ...]:
+    def peers_heard_by(self, own: str) -> tuple[Peer, ...]:
         """Return the others that run and can be heard."""
         return tuple(
             Peer(Voter(node.name, node.identity), node.zone)
@@ -323,23 +329,25 @@
             and (node.name, own) not in self.cut_links
         )
 
-    def _pass_on(self, sent: Sent, loss: float, repeat: float) -> None:
+    def _deliver_with_faults(
+        self, sent: SentMessage, loss: float, repeat: float
+    ) -> None:
         if self.rng.random() < loss:
             is_delayed = self.rng.getrandbits(1)
-            self.flying.extend((sent,) if is_delayed else ())
+            self.in_transit.extend((sent,) if is_delayed else ())
             return
         self._deliver(sent)
         if self.rng.random() < repeat:
-            self.flying.append(sent)
+            self.in_transit.append(sent)
 
-    def _deliver(self, sent: Sent) -> None:
+    def _deliver(self, sent: SentMessage) -> None:
         if (sent.source, sent.outgoing.target) in self.cut_links:
             return
         node = self.node_by_name.get(sent.outgoing.target)
         if node is None:
             return
         if node.frozen:
-            self.flying.append(sent)
+            self.in_transit.append(sent)
             return
         # Through the codec, as over the wire.
         kind, body = messages.encode(sent.outgoing.message)
@@ -351,11 +359,11 @@
     return node.replica.consensus.term
 
 
-def _found(fleet: Fleet) -> None:
+def _found_group(fleet: Fleet) -> None:
     """Let the first replicas be the group."""
     founders = fleet.nodes[: fleet.size]
     group = tuple(Voter(node.name, node.identity) for node in founders)
     fleet.checker.group = {node.name: node.identity for node in founders}
     founded = GroupFounded(group)
     for node in founders:
-        node.found(founded)
+        node.join_first_group(founded)
--- a/redwingstream/control/tests/test_members.py
+++ b/redwingstream/control/tests/test_members.py
@@ -26,7 +26,7 @@
 POOL = SetPool(Pool('sward-live', ('sward-*',)))
 
 
-class Site:
+class LeaderFixture:
     """A fleet, the service for members at its leader, and its agents."""
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
             lambda: self.fleet.now,
         )
 
-    def ask(self, announce: Announce, boot: int) -> list[object]:
+    def announce(self, announce: Announce, boot: int) -> list[object]:
         """Announce once; return the answers, also those that come later."""
         answers: list[object] = []
         self.service.on_announce(announce, boot, answers.append)
@@ -57,25 +57,25 @@
         announce = Announce(
             host, Role.AGENT, '127.0.0.1:1', 'carse', 'sward-live', 100
         )
-        challenge = self.ask(announce, boot)[0]
+        challenge = self.announce(announce, boot)[0]
         assert isinstance(challenge, Challenge)
         again = attrs.evolve(announce, challenge=challenge.challenge)
-        answers = self.ask(again, boot)
+        answers = self.announce(again, boot)
         self.fleet.pass_ticks(4)
         return answers[0]
 
-    def beat(self, beat: Heartbeat, boot: int = 1) -> HeartbeatAck:
+    def send_heartbeat(self, beat: Heartbeat, boot: int = 1) -> HeartbeatAck:
         """Send a heartbeat."""
         answers: list[HeartbeatAck] = []
         self.service.on_heartbeat(beat, boot, answers.append)
         return answers[0]
 
-    def live(self, seconds: float, *beats: Heartbeat) -> None:
+    def run_for(self, seconds: float, *beats: Heartbeat) -> None:
         """Let time pass while some members send heartbeats."""
         end = self.fleet.now + seconds
         while self.fleet.now < end:
             for beat in beats:
-                self.beat(beat)
+                self.send_heartbeat(beat)
             self.service.on_tick()
             self.fleet.pass_ticks(2)
 
@@ -95,42 +95,44 @@
 
 
 @pytest.fixture
-def site() -> Site:
+def site() -> LeaderFixture:
     """A site whose pool admits sward-*."""
-    return Site()
+    return LeaderFixture()
 
 
 class TestMemberService:
     """What members are told, and what is committed of them."""
 
-    def test_a_silent_member_is_removed(self, site: Site) -> None:
+    def test_a_silent_member_is_removed(self, site: LeaderFixture) -> None:
         first = site.admit('sward-1')
         site.admit('sward-2')
         beat = Heartbeat('sward-1', first.incarnation, 0)
-        site.live(DEFAULT_LEASE + 1, beat)
+        site.run_for(DEFAULT_LEASE + 1, beat)
         assert site.members == {'sward-1'}
 
-    def test_a_leaving_member_drains(self, site: Site) -> None:
+    def test_a_leaving_member_drains(self, site: LeaderFixture) -> None:
         ack = site.admit('sward-1')
         beat = Heartbeat('sward-1', ack.incarnation, 0, leaving=True)
-        site.live(1, beat)
+        site.run_for(1, beat)
         state = site.state()
         assert state.member_by_host['sward-1'].draining
         assert state.view_by_pool['sward-live'].members == ()
 
-    def test_views_settle(self, site: Site) -> None:
+    def test_views_settle(self, site: LeaderFixture) -> None:
         one, two = site.admit('sward-1'), site.admit('sward-2')
         state = site.state()
         number = state.view_by_pool['sward-live'].number
         assert state.view_by_pool['sward-live'].unsettled
-        site.live(
+        site.run_for(
             1,
             Heartbeat('sward-1', one.incarnation, 0, settled_view=number),
             Heartbeat('sward-2', two.incarnation, 0, settled_view=number),
         )
         assert not state.view_by_pool['sward-live'].unsettled
 
-    def test_a_host_that_is_not_admitted_is_told_why(self, site: Site) -> None:
+    def test_a_host_that_is_not_admitted_is_told_why(
+        self, site: LeaderFixture
+    ) -> None:
         ack = site.admit('cover-1')
         assert ack.incarnation > 0
         assert 'sward-*' in ack.reason
@@ -145,7 +147,7 @@
         ],
     )
     def test_a_malformed_announcement_is_no_entry(
-        self, site: Site, field: dict[str, object], met: str
+        self, site: LeaderFixture, field: dict[str, object], met: str
     ) -> None:
         """No change is accepted any more after one wrong setting.
 
@@ -156,28 +158,32 @@
             Announce('h', Role.AGENT, '127.0.0.1:1', 'carse', 'p', 100),
             **field,
         )
-        answers = site.ask(announce, boot=1)
+        answers = site.announce(announce, boot=1)
         assert answers[0].incarnation == 0
         assert met in answers[0].reason
 
-    def test_an_unknown_run_has_to_announce_itself(self, site: Site) -> None:
+    def test_an_unknown_run_has_to_announce_itself(
+        self, site: LeaderFixture
+    ) -> None:
         ack = site.admit('sward-1')
         beat = Heartbeat('sward-1', ack.incarnation, 0)
-        assert site.beat(beat, boot=2).incarnation == 0
-        assert site.beat(Heartbeat('sward-9', 3, 0)).incarnation == 0
+        assert site.send_heartbeat(beat, boot=2).incarnation == 0
+        assert site.send_heartbeat(Heartbeat('sward-9', 3, 0)).incarnation == 0
 
-    def test_a_follower_names_the_leader(self, site: Site) -> None:
+    def test_a_follower_names_the_leader(self, site: LeaderFixture) -> None:
         ack = site.admit('sward-1')
         site.fleet.pass_ticks(4)
         follower = next(
             node for node in site.fleet.nodes if node is not site.leader
         )
         site.service = site.make_service(follower)
-        answer = site.beat(Heartbeat('sward-1', ack.incarnation, 0))
+        answer = site.send_heartbeat(Heartbeat('sward-1', ack.incarnation, 0))
         assert answer.leader == site.leader.name
         assert answer.incarnation == ack.incarnation
 
-    def test_a_new_leader_keeps_hundreds_of_members(self, site: Site) -> None:
+    def test_a_new_leader_keeps_hundreds_of_members(
+        self, site: LeaderFixture
+    ) -> None:
         """Each change of leader would drop or admit all servers anew.
 
         Hundreds of members send heartbeats to a leader that has just been
@@ -191,13 +197,13 @@
         before = site.last_index()
         for number, ack in enumerate(acks):
             beat = Heartbeat(f'sward-{number}', ack.incarnation, 0)
-            assert site.beat(beat).incarnation == ack.incarnation
+            assert site.send_heartbeat(beat).incarnation == ack.incarnation
         site.service.on_tick()
         assert site.last_index() == before
         assert len(site.members) == MANY
 
     def test_without_a_majority_commands_do_not_pile_up(
-        self, site: Site
+        self, site: LeaderFixture
     ) -> None:
         """A leader without followers fills its disk with removals.
 
@@ -207,10 +213,10 @@
         first = site.admit('sward-1')
         site.admit('sward-2')
         beat = Heartbeat('sward-1', first.incarnation, 0)
-        site.live(DEFAULT_LEASE - 0.5, beat)
+        site.run_for(DEFAULT_LEASE - 0.5, beat)
         before = site.last_index()
         for _ in range(30):
             site.fleet.now += 0.05
-            site.beat(beat)
+            site.send_heartbeat(beat)
             site.service.on_tick()
         assert site.last_index() == before + 1
--- a/redwingstream/control/tests/test_processes.py
+++ b/redwingstream/control/tests/test_processes.py
@@ -26,7 +26,7 @@
 from redwingstream.wire.calls import MAX_CALL_SIZE, CallClient
 from redwingstream.wire.frames import FrameCodec
 
-PATIENCE = 60
+TIMEOUT_SECONDS = 60
 PROGRAM = """
 import asyncio, sys
 from pathlib import Path
@@ -91,7 +91,7 @@
         assert {mark.zone for mark in read.update.zones} == self.accepted
 
     async def _ask_all(self, request: object, wanted: type):
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             turn = 0
             while True:
                 turn += 1
--- a/redwingstream/control/tests/test_recovery.py
+++ b/redwingstream/control/tests/test_recovery.py
@@ -6,7 +6,7 @@
 
 from redwingstream.consensus.events import HardState
 from redwingstream.consensus.messages import Entry, Snapshot, Voter
-from redwingstream.control.recovery import MOVED_AHEAD, recover_single_replica
+from redwingstream.control.recovery import INDEX_JUMP, recover_single_replica
 from redwingstream.control.settings import ControlSettings
 from redwingstream.endpoints import Endpoint
 from redwingstream.errors import SettingError
@@ -90,7 +90,7 @@
         assert (
             recovered.revision == recovered.config_revision == recovered.index
         )
-        assert recovered.index == 2 + MOVED_AHEAD
+        assert recovered.index == 2 + INDEX_JUMP
         loaded = load(settings)
         assert loaded.hard_state == HardState(4, '')
         assert loaded.snapshot.group == (Voter(str(ENDPOINT), 1),)
@@ -108,7 +108,7 @@
         machine = StateMachine()
         machine.load(load(settings).snapshot.state)
         view = machine.state.view_by_pool['sward-live']
-        assert view.number == 2 + MOVED_AHEAD
+        assert view.number == 2 + INDEX_JUMP
         keeper = BucketKeeper('sward-1', 2, view.pool, MemoryStore(), 247)
         keeper.apply_view(view, 0)
         for second in range(247):
--- a/redwingstream/control/tests/test_replica.py
+++ b/redwingstream/control/tests/test_replica.py
@@ -9,7 +9,7 @@
 from redwingstream.consensus.messages import AppendAnswer, Voter
 from redwingstream.control.recovery import recover_folder
 from redwingstream.control.replica import Replica
-from redwingstream.control.tests.fakes import Fleet, Node, Sent
+from redwingstream.control.tests.fakes import Fleet, Node, SentMessage
 from redwingstream.errors import CallFailedError, ResultCode, StorageError
 from redwingstream.storage.tests.fakes import FakeFolder
 from redwingstream.tables.edits import (
@@ -56,18 +56,18 @@
     return [node for node in fleet.nodes if node is not fleet.leader()]
 
 
-def collect_answers(fleet: Fleet) -> list[Sent]:
+def collect_answers(fleet: Fleet) -> list[SentMessage]:
     """Return an answer of each follower to a sign of life of the leader."""
-    answer_by_source: dict[str, Sent] = {}
+    answer_by_source: dict[str, SentMessage] = {}
     while len(answer_by_source) < len(followers(fleet)):
         fleet.pass_ticks(1)
-        for sent in fleet.flying:
+        for sent in fleet.in_transit:
             if isinstance(sent.outgoing.message, AppendAnswer):
                 answer_by_source[sent.source] = sent
     return list(answer_by_source.values())
 
 
-def deliver_late(node: Node, late: list[Sent]) -> None:
+def deliver_late(node: Node, late: list[SentMessage]) -> None:
     """Let messages arrive that the network held back."""
     for sent in late:
         event = Received(sent.outgoing.message)
@@ -129,7 +129,7 @@
         # One tick brings the entry to the followers, whose answers are lost.
         fleet.pass_tick(loss=0, repeat=0)
         first.crash()
-        fleet.flying.clear()
+        fleet.in_transit.clear()
         fleet.pass_ticks(3 * SECOND)
         assert zone_is_out(fleet.leader())
 
--- a/redwingstream/control/tests/test_role.py
+++ b/redwingstream/control/tests/test_role.py
@@ -50,7 +50,7 @@
 
 KEY = b'k' * 32
 TIMING = Timing(heartbeat=0.02, election_min=0.2, election_max=0.4)
-PATIENCE = 20
+TIMEOUT_SECONDS = 20
 REQUEST = ChangeRequest(
     'r1', 0, Edits(set_pools=(SetPool(Pool('sward-live', ('sward-*',))),))
 )
@@ -134,7 +134,7 @@
 
     async def leader(self) -> Endpoint:
         """Wait for a leader that is ready."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             candidates = itertools.cycle(self.endpoints)
             endpoint = next(candidates)
             while not await self._leads(endpoint):
@@ -175,7 +175,7 @@
     async def ask(self, target: Endpoint, message: object) -> object:
         """Send a frame and wait for the answer."""
         self.sock.send(self.codec.seal(message), target.as_pair())
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             return await self.inbox.get()
 
 
@@ -279,7 +279,7 @@
     async def _wait_for_role(
         self, group: Group, endpoint: Endpoint, role: str
     ) -> None:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             while True:
                 dump = await group.ask(endpoint, DumpRequest(), DumpAnswer)
                 if json.loads(dump.text)['consensus']['role'] == role:
