--- a/redwingstream/control/tests/fakes.py
+++ b/redwingstream/control/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Replicas in memory, with the faults of their network and disks."""
+"""Replicas in memory, with simulated faults of network and disks."""
 
 import random
 from collections.abc import Callable
@@ -34,19 +34,19 @@
 
 TICK = 0.05
 NAMES = ('a', 'b', 'c')
-CALM_TICKS = 400
+RECOVERY_TICKS = 400
 
 
 @attrs.frozen
 class SentMessage:
-    """A message under way."""
+    """A message in transit."""
 
     source: str
     outgoing: Outgoing
 
 
 class HistoryChecker:
-    """Sees every entry that any replica applies, and never forgets."""
+    """Checks applied entries, leaders and answers against earlier ones."""
 
     def __init__(self) -> None:
         self.entry_by_index: dict[int, Entry] = {}
@@ -59,7 +59,7 @@
         self.winner_by_revision: dict[int, str] = {}
 
     def check_entry(self, entry: Entry, state: bytes) -> None:
-        """Two replicas never apply different entries at one index."""
+        """Check that no two replicas apply different entries at one index."""
         assert self.entry_by_index.setdefault(entry.index, entry) == entry
         assert self.state_by_index.setdefault(entry.index, state) == state
         if entry.kind == READMIT_KIND and entry.index > self.group_index:
@@ -70,18 +70,18 @@
             self.group[change.voter.name] = change.voter.identity
 
     def record_joining(self, log: Log) -> None:
-        """A replica that some log is about to count is one to rely on."""
+        """Record a replica that some log is about to make a voter."""
         joining = log.joining
         if joining and log.has_group_change_after(self.group_index):
             voter = joining.voter
             self.joining.setdefault(voter.name, voter.identity)
 
     def check_leader(self, term: int, name: str) -> None:
-        """No term has two leaders."""
+        """Check that no term has two leaders."""
         assert self.leader_by_term.setdefault(term, name) == name
 
     def check_answer(self, request: ChangeRequest, answer: object) -> None:
-        """A request has one answer, and a revision one winner."""
+        """Check that a request has one answer, and a revision one winner."""
         if not isinstance(answer, ChangeAnswer):
             return
         first = self.answer_by_request.setdefault(request.request_id, answer)
@@ -94,19 +94,19 @@
 
 
 class CheckedMachine(StateMachine):
-    """A state machine that shows the witness what it applies."""
+    """A state machine whose applied entries are checked."""
 
     checker: HistoryChecker
 
     def apply(self, entry: Entry) -> object:
-        """Apply an entry and report it."""
+        """Apply an entry and check it against other replicas."""
         outcome = super().apply(entry)
         self.checker.check_entry(entry, self.pack())
         return outcome
 
 
 class Node:
-    """A replica with its disk; it can be down or frozen."""
+    """A replica with its disk; it can be crashed or suspended."""
 
     def __init__(self, name: str, fleet: 'Fleet') -> None:
         self.name = name
@@ -119,7 +119,7 @@
         self.failures: list[StorageError] = []
 
     def start(self) -> None:
-        """Read the disk and run, unless the power goes over it."""
+        """Read the disk and run, unless a power failure interrupts it."""
         store = ReplicaStore(self.folder)
         try:
             loaded = store.load(lambda: self.fleet.rng.getrandbits(60) | 1)
@@ -129,7 +129,7 @@
             self._run_from(store, loaded)
 
     def run(self, act: Callable[[Replica], None]) -> None:
-        """Do something with the replica, which may lose its power over it."""
+        """Act on the replica; a power failure during it crashes the node."""
         if self.replica is None:
             return
         try:
@@ -142,10 +142,10 @@
         self.run(lambda replica: replica.step(founded))
 
     def tick(self) -> None:
-        """Let the replica look at its timers."""
+        """Advance the replica's timers."""
         if self.fleet.size:
-            heard = PeersUpdated(self.fleet.peers_heard_by(self.name))
-            self.run(lambda replica: replica.step(heard))
+            updated = PeersUpdated(self.fleet.peers_heard_by(self.name))
+            self.run(lambda replica: replica.step(updated))
         self.run(lambda replica: replica.step(Ticked()))
 
     def crash(self) -> None:
@@ -173,7 +173,7 @@
             fleet.now,
             GroupPolicy(fleet.size, self.zone),
         )
-        around = ReplicaEnvironment(
+        environment = ReplicaEnvironment(
             send=lambda out: fleet.in_transit.append(
                 SentMessage(self.name, out)
             ),
@@ -185,7 +185,7 @@
             consensus,
             store,
             loaded,
-            around,
+            environment,
             SnapshotRule(interval=8, kept_entries=3),
         )
         machine = CheckedMachine()
@@ -195,16 +195,16 @@
 
 
 class Fleet:
-    """Replicas and the messages between them.
+    """Replicas and the simulated network between them.
 
     Parameters
     ----------
     seed : int
-        Of everything that happens by chance.
+        Seed of all random choices.
     names : tuple of str
-        The replicas.
+        Names of the replicas.
     size : int
-        How many of them count; 0 when the settings name them all.
+        Number of voters; 0 for a fixed group of all replicas.
     """
 
     def __init__(
@@ -230,15 +230,15 @@
         return list(self.node_by_name.values())
 
     def pass_tick(self, loss: float, repeat: float) -> None:
-        """Let time pass, then deliver what is under way in any order."""
+        """Let time pass, then deliver the messages in transit in any order."""
         self.now += TICK
         for node in self.nodes:
             if not node.frozen:
                 node.tick()
-        flying = self.in_transit
+        messages_sent = self.in_transit
         self.in_transit = []
-        self.rng.shuffle(flying)
-        for sent in flying:
+        self.rng.shuffle(messages_sent)
+        for sent in messages_sent:
             self._deliver_with_faults(sent, loss, repeat)
         self.check_leaders()
 
@@ -247,7 +247,7 @@
         return {node.name: node.identity for node in self.nodes}
 
     def check_leaders(self) -> None:
-        """Show all leaders to the witness."""
+        """Check all leaders, and record replicas that are joining."""
         for node in self.nodes:
             if node.replica is not None:
                 self.checker.record_joining(node.replica.consensus.log)
@@ -272,11 +272,11 @@
             node.run(act)
 
     def all_are_voters(self) -> bool:
-        """Whether every disk is one that counts for a majority."""
+        """Whether every replica is a voter under the identity on its disk."""
         return self.checker.group == self.identity_by_name()
 
     def pass_ticks(self, count: int) -> None:
-        """Let time pass without any fault of the network."""
+        """Let time pass without network faults."""
         for _ in range(count):
             self.pass_tick(loss=0, repeat=0)
 
@@ -301,17 +301,17 @@
             self.cut_links.update({(name, other), (other, name)})
 
     def heal_all(self) -> None:
-        """Mend everything, and wait until all is agreed."""
+        """End all faults, and wait until the replicas agree."""
         self.cut_links.clear()
         for node in self.nodes:
             node.frozen = False
             node.folder.operations_left = None
             if node.replica is None:
                 node.start()
-        self.pass_ticks(CALM_TICKS)
+        self.pass_ticks(RECOVERY_TICKS)
 
     def replace(self, gone: str, fresh: str) -> None:
-        """Take a replica away for good; start an empty one instead."""
+        """Remove a replica permanently; start an empty one instead."""
         self.node_by_name.pop(gone).crash()
         self.names = tuple(name for name in self.names if name != gone)
         self.names = (*self.names, fresh)
@@ -319,7 +319,7 @@
         self.node_by_name[fresh].start()
 
     def peers_heard_by(self, own: str) -> tuple[Peer, ...]:
-        """Return the others that run and can be heard."""
+        """Return the other replicas that run and can be heard."""
         return tuple(
             Peer(Voter(node.name, node.identity), node.zone)
             for node in self.nodes
@@ -349,7 +349,7 @@
         if node.frozen:
             self.in_transit.append(sent)
             return
-        # Through the codec, as over the wire.
+        # Encodes and decodes the message, as a network does.
         kind, body = messages.encode(sent.outgoing.message)
         message = messages.decode(kind, body)
         node.run(lambda replica: replica.step(Received(message)))
@@ -360,7 +360,7 @@
 
 
 def _found_group(fleet: Fleet) -> None:
-    """Let the first replicas be the group."""
+    """Form a group of the first replicas."""
     founders = fleet.nodes[: fleet.size]
     group = tuple(Voter(node.name, node.identity) for node in founders)
     fleet.checker.group = {node.name: node.identity for node in founders}
--- a/redwingstream/control/tests/test_members.py
+++ b/redwingstream/control/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Members at a control instance: admitted, kept, drained, removed."""
+"""Service for members: they are admitted, kept, drained and removed."""
 
 import random
 
@@ -26,8 +26,8 @@
 POOL = SetPool(Pool('sward-live', ('sward-*',)))
 
 
-class LeaderFixture:
-    """A fleet, the service for members at its leader, and its agents."""
+class LeaderHarness:
+    """A group of replicas, and the service for members at its leader."""
 
     def __init__(self) -> None:
         self.fleet = Fleet(seed=5).form_group()
@@ -38,7 +38,7 @@
         self.service = self.make_service(self.leader)
 
     def make_service(self, node) -> MemberService:
-        """Return a service at a replica."""
+        """Return a service for members at a replica."""
         return MemberService(
             node.replica,
             DEFAULT_LEASE,
@@ -47,13 +47,13 @@
         )
 
     def announce(self, announce: Announce, boot: int) -> list[object]:
-        """Announce once; return the answers, also those that come later."""
+        """Announce once; return a list that later answers are added to."""
         answers: list[object] = []
         self.service.on_announce(announce, boot, answers.append)
         return answers
 
     def admit(self, host: str, boot: int = 1) -> HeartbeatAck:
-        """Announce in two steps and wait for the acceptance."""
+        """Announce, answer the challenge and wait for the admission."""
         announce = Announce(
             host, Role.AGENT, '127.0.0.1:1', 'carse', 'sward-live', 100
         )
@@ -80,7 +80,7 @@
             self.fleet.pass_ticks(2)
 
     def state(self) -> MachineState:
-        """Return what the leader has applied."""
+        """Return the state that the leader has applied."""
         return self.leader.replica.machine.state
 
     def last_index(self) -> int:
@@ -95,35 +95,35 @@
 
 
 @pytest.fixture
-def site() -> LeaderFixture:
-    """A site whose pool admits sward-*."""
-    return LeaderFixture()
+def harness() -> LeaderHarness:
+    """A leader whose pool admits sward-*."""
+    return LeaderHarness()
 
 
 class TestMemberService:
-    """What members are told, and what is committed of them."""
+    """Answers to members, and the commands that follow."""
 
-    def test_a_silent_member_is_removed(self, site: LeaderFixture) -> None:
-        first = site.admit('sward-1')
-        site.admit('sward-2')
+    def test_a_silent_member_is_removed(self, harness: LeaderHarness) -> None:
+        first = harness.admit('sward-1')
+        harness.admit('sward-2')
         beat = Heartbeat('sward-1', first.incarnation, 0)
-        site.run_for(DEFAULT_LEASE + 1, beat)
-        assert site.members == {'sward-1'}
+        harness.run_for(DEFAULT_LEASE + 1, beat)
+        assert harness.members == {'sward-1'}
 
-    def test_a_leaving_member_drains(self, site: LeaderFixture) -> None:
-        ack = site.admit('sward-1')
+    def test_a_leaving_member_drains(self, harness: LeaderHarness) -> None:
+        ack = harness.admit('sward-1')
         beat = Heartbeat('sward-1', ack.incarnation, 0, leaving=True)
-        site.run_for(1, beat)
-        state = site.state()
+        harness.run_for(1, beat)
+        state = harness.state()
         assert state.member_by_host['sward-1'].draining
         assert state.view_by_pool['sward-live'].members == ()
 
-    def test_views_settle(self, site: LeaderFixture) -> None:
-        one, two = site.admit('sward-1'), site.admit('sward-2')
-        state = site.state()
+    def test_views_settle(self, harness: LeaderHarness) -> None:
+        one, two = harness.admit('sward-1'), harness.admit('sward-2')
+        state = harness.state()
         number = state.view_by_pool['sward-live'].number
         assert state.view_by_pool['sward-live'].unsettled
-        site.run_for(
+        harness.run_for(
             1,
             Heartbeat('sward-1', one.incarnation, 0, settled_view=number),
             Heartbeat('sward-2', two.incarnation, 0, settled_view=number),
@@ -131,9 +131,9 @@
         assert not state.view_by_pool['sward-live'].unsettled
 
     def test_a_host_that_is_not_admitted_is_told_why(
-        self, site: LeaderFixture
+        self, harness: LeaderHarness
     ) -> None:
-        ack = site.admit('cover-1')
+        ack = harness.admit('cover-1')
         assert ack.incarnation > 0
         assert 'sward-*' in ack.reason
 
@@ -147,76 +147,80 @@
         ],
     )
     def test_a_malformed_announcement_is_no_entry(
-        self, site: LeaderFixture, field: dict[str, object], met: str
+        self, harness: LeaderHarness, field: dict[str, object], met: str
     ) -> None:
-        """No change is accepted any more after one wrong setting.
+        """A wrong setting of one process must not block all changes.
 
-        A process announces itself with a name that fits its own frame, but
-        not the one in which the entry goes to the other replicas.
+        A process announces itself with a name that fits its own frame, but not
+        the frame in which the entry is sent to the other replicas.
         """
         announce = attrs.evolve(
             Announce('h', Role.AGENT, '127.0.0.1:1', 'carse', 'p', 100),
             **field,
         )
-        answers = site.announce(announce, boot=1)
+        answers = harness.announce(announce, boot=1)
         assert answers[0].incarnation == 0
         assert met in answers[0].reason
 
     def test_an_unknown_run_has_to_announce_itself(
-        self, site: LeaderFixture
+        self, harness: LeaderHarness
     ) -> None:
-        ack = site.admit('sward-1')
+        ack = harness.admit('sward-1')
         beat = Heartbeat('sward-1', ack.incarnation, 0)
-        assert site.send_heartbeat(beat, boot=2).incarnation == 0
-        assert site.send_heartbeat(Heartbeat('sward-9', 3, 0)).incarnation == 0
+        assert harness.send_heartbeat(beat, boot=2).incarnation == 0
+        assert (
+            harness.send_heartbeat(Heartbeat('sward-9', 3, 0)).incarnation == 0
+        )
 
-    def test_a_follower_names_the_leader(self, site: LeaderFixture) -> None:
-        ack = site.admit('sward-1')
-        site.fleet.pass_ticks(4)
+    def test_a_follower_names_the_leader(self, harness: LeaderHarness) -> None:
+        ack = harness.admit('sward-1')
+        harness.fleet.pass_ticks(4)
         follower = next(
-            node for node in site.fleet.nodes if node is not site.leader
+            node for node in harness.fleet.nodes if node is not harness.leader
+        )
+        harness.service = harness.make_service(follower)
+        answer = harness.send_heartbeat(
+            Heartbeat('sward-1', ack.incarnation, 0)
         )
-        site.service = site.make_service(follower)
-        answer = site.send_heartbeat(Heartbeat('sward-1', ack.incarnation, 0))
-        assert answer.leader == site.leader.name
+        assert answer.leader == harness.leader.name
         assert answer.incarnation == ack.incarnation
 
     def test_a_new_leader_keeps_hundreds_of_members(
-        self, site: LeaderFixture
+        self, harness: LeaderHarness
     ) -> None:
-        """Each change of leader would drop or admit all servers anew.
+        """A change of leader must neither drop nor readmit the members.
 
         Hundreds of members send heartbeats to a leader that has just been
-        elected.  They keep their incarnations, and nothing is committed.
+        elected.  They keep their incarnations, and nothing is proposed.
         """
-        acks = [site.admit(f'sward-{number}') for number in range(MANY)]
-        site.leader.crash()
-        site.fleet.pass_ticks(60)
-        site.leader = site.fleet.leader()
-        site.service = site.make_service(site.leader)
-        before = site.last_index()
+        acks = [harness.admit(f'sward-{number}') for number in range(MANY)]
+        harness.leader.crash()
+        harness.fleet.pass_ticks(60)
+        harness.leader = harness.fleet.leader()
+        harness.service = harness.make_service(harness.leader)
+        before = harness.last_index()
         for number, ack in enumerate(acks):
             beat = Heartbeat(f'sward-{number}', ack.incarnation, 0)
-            assert site.send_heartbeat(beat).incarnation == ack.incarnation
-        site.service.on_tick()
-        assert site.last_index() == before
-        assert len(site.members) == MANY
+            assert harness.send_heartbeat(beat).incarnation == ack.incarnation
+        harness.service.on_tick()
+        assert harness.last_index() == before
+        assert len(harness.members) == MANY
 
-    def test_without_a_majority_commands_do_not_pile_up(
-        self, site: LeaderFixture
+    def test_without_a_majority_commands_do_not_accumulate(
+        self, harness: LeaderHarness
     ) -> None:
-        """A leader without followers fills its disk with removals.
+        """A leader without followers must not fill its disk with removals.
 
-        It has lost its followers and not yet noticed, and a member is
-        silent: its removal is proposed once, not at each tick.
+        It has lost its followers but has not noticed it yet, and a member is
+        silent.  The removal is proposed once, not at each tick.
         """
-        first = site.admit('sward-1')
-        site.admit('sward-2')
+        first = harness.admit('sward-1')
+        harness.admit('sward-2')
         beat = Heartbeat('sward-1', first.incarnation, 0)
-        site.run_for(DEFAULT_LEASE - 0.5, beat)
-        before = site.last_index()
+        harness.run_for(DEFAULT_LEASE - 0.5, beat)
+        before = harness.last_index()
         for _ in range(30):
-            site.fleet.now += 0.05
-            site.send_heartbeat(beat)
-            site.service.on_tick()
-        assert site.last_index() == before + 1
+            harness.fleet.now += 0.05
+            harness.send_heartbeat(beat)
+            harness.service.on_tick()
+        assert harness.last_index() == before + 1
--- a/redwingstream/control/tests/test_processes.py
+++ b/redwingstream/control/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Three control instances as real processes with real files."""
+"""Three control instances as operating-system processes with real files."""
 
 import asyncio
 import contextlib
@@ -42,7 +42,7 @@
 
 
 class Processes:
-    """Three processes, and an operator who repeats until he is answered."""
+    """Three processes, and a client that repeats a request until answered."""
 
     def __init__(self, folder: Path, client: CallClient) -> None:
         self.folder = folder
@@ -61,7 +61,7 @@
         )
 
     def kill(self, endpoint: Endpoint) -> None:
-        """Kill one process without a warning."""
+        """Kill one process with SIGKILL."""
         process = self.process_by_endpoint[endpoint]
         process.kill()
         process.wait()
@@ -75,7 +75,7 @@
         return self.folder / str(endpoint.port)
 
     async def change(self) -> Endpoint:
-        """Have a change accepted; return who accepted it."""
+        """Make a change; return the endpoint that committed it."""
         zone = f'z{len(self.accepted)}'
         edits = Edits(set_zones=(SetZone(ZoneMark(zone, out=True)),))
         request = ChangeRequest(zone, self.revision, edits)
@@ -86,7 +86,7 @@
         return endpoint
 
     async def check(self) -> None:
-        """Read the tables: all accepted changes are there, and no other."""
+        """Check that the tables hold all committed changes and no others."""
         _, read = await self._ask_all(ReadTables(), TablesRead)
         assert {mark.zone for mark in read.update.zones} == self.accepted
 
@@ -118,16 +118,16 @@
 
 
 class TestProcesses:
-    """What was accepted stays, whatever happens to the processes."""
+    """Committed changes are kept when processes crash or stop."""
 
     async def test_killed_leaders(self, processes: Processes) -> None:
-        """An accepted change is gone, or made twice, after kill -9.
+        """A committed change must be neither lost nor applied twice.
 
-        The leader is killed while a change is under way; the operator's tool
-        repeats it until somebody answers.
+        The leader is killed with SIGKILL during a change, and the client
+        repeats the change until an instance answers.
         """
-        await self._kill_leader_at_a_change(processes)
-        await self._kill_leader_at_a_change(processes)
+        await self._kill_leader_during_a_change(processes)
+        await self._kill_leader_during_a_change(processes)
         for endpoint in processes.endpoints:
             processes.kill(endpoint)
             processes.start(endpoint)
@@ -136,10 +136,10 @@
     async def test_a_leader_stopped_for_long(
         self, processes: Processes
     ) -> None:
-        """A change reverts when a frozen leader goes on.
+        """A change must not be reverted when a suspended leader resumes.
 
-        The leader is stopped for longer than every timeout among the
-        replicas, others accept changes, and it goes on where it was.
+        The leader is stopped for longer than every timeout among the replicas,
+        the others commit changes, and it resumes where it stopped.
         """
         leader = await processes.change()
         processes.signal(leader, signal.SIGSTOP)
@@ -159,10 +159,10 @@
         await processes.change()
         await processes.check()
 
-    async def _kill_leader_at_a_change(self, processes: Processes) -> None:
+    async def _kill_leader_during_a_change(self, processes: Processes) -> None:
         leader = await processes.change()
-        under_way = asyncio.create_task(processes.change())
+        pending = asyncio.create_task(processes.change())
         await asyncio.sleep(0.002)
         processes.kill(leader)
-        await under_way
+        await pending
         processes.start(leader)
--- a/redwingstream/control/tests/test_recovery.py
+++ b/redwingstream/control/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a recovered replica goes on from."""
+"""Recovery of a single replica: refusal without confirmation, and result."""
 
 import pathlib
 
@@ -65,14 +65,15 @@
 
 
 class TestRecoverAlone:
-    """Operators go on from one data folder."""
+    """Recovery from the data folder of one replica."""
 
     @pytest.mark.parametrize('confirmed', [None, 0, 2])
-    def test_says_first_what_is_lost(self, settings, confirmed) -> None:
-        """An operator runs the command without a word on what may be lost.
+    def test_reports_first_what_may_be_lost(self, settings, confirmed) -> None:
+        """An operator must not lose changes without having confirmed it.
 
-        It changes nothing, names the revision that the folder ends at and the
-        zones out of service, and how to confirm.
+        Without a matching confirmation nothing is changed.  The error names
+        the last revision in the folder, the zones out of service, and the
+        option that confirms.
         """
         before = load(settings)
         with pytest.raises(SettingError, match='maipu') as caught:
@@ -80,11 +81,12 @@
         assert '--lose-changes-after 1;' in str(caught.value)
         assert load(settings) == before
 
-    def test_goes_on_from_far_above(self, settings) -> None:
-        """Balancers kept lost tables after a recovery, and for good.
+    def test_continues_with_much_higher_numbers(self, settings) -> None:
+        """Balancers must not keep lost tables after a recovery.
 
-        They had taken up revisions that the survivor had never seen, so its
-        tables looked older to them, and agents fenced its views.
+        They may have applied revisions that the surviving replica has never
+        seen.  Its tables would look older to them, and agents would fence its
+        views.
         """
         recovered = recover_single_replica(settings, 1)
         assert (
@@ -96,13 +98,13 @@
         assert loaded.snapshot.group == (Voter(str(ENDPOINT), 1),)
         assert not loaded.entries
 
-    def test_views_follow_one_that_nobody_knows(self, settings) -> None:
-        """A replayed reading ran again after a recovery.
+    def test_views_follow_an_unknown_earlier_view(self, settings) -> None:
+        """A replayed request must not run again after a recovery.
 
-        Its bucket had moved under a view that was lost; the new home heard
-        from the pair of the last view that was known and thought that it had
-        every record.  An earlier view that nobody can be asked about stands
-        for the lost ones, so that homes treat what may be a replay as one.
+        Its bucket moved under a view that was lost.  The new home asks the
+        home and heir of the last known view, and would conclude that it has
+        every record.  An earlier view whose member cannot be reached stands
+        for the lost ones, so that homes treat possible replays as replays.
         """
         recover_single_replica(settings, 1)
         machine = StateMachine()
--- a/redwingstream/control/tests/test_role.py
+++ b/redwingstream/control/tests/test_role.py
@@ -57,18 +57,18 @@
 
 
 FIRST_PORT = 20000
-PORTS_OF_A_RUN = 100
+PORTS_PER_RUN = 100
 RUNS = 120
-_next_ports = itertools.count(FIRST_PORT + os.getpid() % RUNS * PORTS_OF_A_RUN)
+_next_ports = itertools.count(FIRST_PORT + os.getpid() % RUNS * PORTS_PER_RUN)
 
 
 def free_endpoint() -> Endpoint:
-    """Return an endpoint whose UDP and TCP ports nobody uses.
+    """Return an endpoint whose UDP and TCP ports are free.
 
     Notes
     -----
-    Below the ports that the system gives out by itself: one of these could
-    be taken by any other socket before the instance binds it.
+    The ports are below the range of ephemeral ports: one of those could be
+    assigned to any other socket before the instance binds it.
     """
     endpoint = Endpoint('127.0.0.1', next(_next_ports))
     while not is_free(endpoint):
@@ -91,7 +91,7 @@
 
 
 class Group:
-    """Control instances of one loop, and a client."""
+    """Control instances on one event loop, and a client."""
 
     def __init__(self, folder: Path, size: int) -> None:
         self.folder = folder
@@ -115,13 +115,13 @@
         self.task_by_endpoint[endpoint] = task
 
     async def stop(self, endpoint: Endpoint) -> None:
-        """Stop one instance; it returns cleanly."""
+        """Stop one instance and wait until it has ended."""
         task = self.task_by_endpoint.pop(endpoint)
         task.cancel()
         await task
 
     async def stop_all(self) -> None:
-        """Stop all that run, at once."""
+        """Stop all running instances at once."""
         await asyncio.gather(*map(self.stop, list(self.task_by_endpoint)))
 
     async def ask(self, endpoint: Endpoint, request: object, wanted: type):
@@ -165,7 +165,7 @@
 
 
 class Agent:
-    """Speaks to control as an agent does."""
+    """Sends frames to control instances, as an agent does."""
 
     def __init__(self, sock, codec: FrameCodec, inbox: asyncio.Queue) -> None:
         self.sock = sock
@@ -193,7 +193,7 @@
 
 
 class TestControl:
-    """Changes, members and tables."""
+    """Changes, members and tables over real sockets."""
 
     @pytest.mark.parametrize('size', [1, 3])
     async def test_accepts_a_change_and_an_agent(
@@ -256,10 +256,10 @@
     async def test_a_removed_data_folder_is_readmitted(
         self, tmp_path: Path
     ) -> None:
-        """A replaced machine never counts again, or forgets a change.
+        """A replica with an empty folder must be readmitted and lose no change.
 
-        A follower stops, its folder is removed, and it starts empty; then
-        the leader stops.  The change is still there.
+        A follower stops, its folder is emptied, and it starts again; then the
+        leader stops.  The change is still there.
         """
         async with open_group(tmp_path, 3) as group:
             leader = await group.leader()
@@ -288,7 +288,7 @@
 
 
 class TestRefusedStart:
-    """What cannot work is said at once."""
+    """An instance that cannot work fails at its start."""
 
     async def test_an_endpoint_not_among_the_replicas(
         self, tmp_path: Path
