--- a/redwingstream/consensus/core.py
+++ b/redwingstream/consensus/core.py
@@ -212,10 +212,10 @@
             )
         return index, self._take_effects()
 
-    def read(self, asked: ReadRequested, now: float) -> Effects:
+    def read(self, request: ReadRequested, now: float) -> Effects:
         """Start a linearizable read; see :meth:`propose` for errors."""
         role = self._leader_role()
-        if not leader_handlers.on_read(self._state, role, asked.ticket, now):
+        if not leader_handlers.on_read(self._state, role, request.ticket, now):
             raise CallFailedError(
                 'too many reads wait for a majority; try again',
                 ResultCode.NO_QUORUM,
@@ -324,7 +324,7 @@
 def _compact_log(state: ReplicaState, taken: SnapshotTaken) -> None:
     log = state.log
     if taken.index <= log.snapshot_index or log.is_joining_at(taken.index):
-        # A snapshot holds one group only; the change ends within two entries.
+        # A snapshot holds one group only; the change ends within moments.
         return
     term = log.term_at(taken.index) or 0
     group = log.group_at(taken.index)
--- a/redwingstream/consensus/election.py
+++ b/redwingstream/consensus/election.py
@@ -31,27 +31,27 @@
     _start_election(state, now, pre=pre, handed_over=False)
 
 
-def on_take_over(state: ReplicaState, asked: TakeOver, now: float) -> None:
+def on_take_over(state: ReplicaState, request: TakeOver, now: float) -> None:
     """Start an election at once, since the leader of this term stops."""
-    if asked.term == state.term and state.is_voter(state.myself):
+    if request.term == state.term and state.is_voter(state.myself):
         _start_election(state, now, pre=False, handed_over=True)
 
 
-def on_request(state: ReplicaState, asked: VoteRequest, now: float) -> None:
+def on_request(state: ReplicaState, request: VoteRequest, now: float) -> None:
     """Answer a request for a vote or a pre-vote."""
     if not state.log.group or not state.is_voter(state.myself):
         # This replica has lost its disk or has never been a voter.  Its former
         # identity may have voted in this term already, and a second vote could
         # give one term two leaders.  So it does not vote until readmitted.
         return
-    if not asked.handed_over and _hears_leader(state, now):
-        _answer(state, asked, granted=False)
+    if not request.handed_over and _hears_leader(state, now):
+        _answer(state, request, granted=False)
         return
-    if asked.pre:
-        granted = asked.term > state.term and _is_up_to_date(state, asked)
-        _answer(state, asked, granted=granted)
+    if request.pre:
+        granted = request.term > state.term and _is_up_to_date(state, request)
+        _answer(state, request, granted=granted)
         return
-    _vote(state, asked, now)
+    _vote(state, request, now)
 
 
 def on_answer(state: ReplicaState, answer: VoteAnswer, now: float) -> None:
@@ -77,7 +77,7 @@
     state.role = role
     if not pre:
         state.store_vote(state.term + 1, state.myself.name)
-    asked = VoteRequest(
+    request = VoteRequest(
         _wanted_term(state, role),
         state.myself,
         state.log.last_index,
@@ -86,7 +86,7 @@
         handed_over,
     )
     for name in state.others:
-        state.send(name, asked)
+        state.send(name, request)
     _check_won(state, role, now)
 
 
@@ -129,24 +129,28 @@
             return False
 
 
-def _vote(state: ReplicaState, asked: VoteRequest, now: float) -> None:
-    if asked.term > state.term:
-        state.store_vote(asked.term, '')
+def _vote(state: ReplicaState, request: VoteRequest, now: float) -> None:
+    if request.term > state.term:
+        state.store_vote(request.term, '')
         state.become_follower(now)
-    free = state.vote in {'', asked.sender.name}
-    granted = asked.term == state.term and free and _is_up_to_date(state, asked)
+    free = state.vote in {'', request.sender.name}
+    granted = (
+        request.term == state.term and free and _is_up_to_date(state, request)
+    )
     if granted:
-        state.store_vote(asked.term, asked.sender.name)
+        state.store_vote(request.term, request.sender.name)
         state.become_follower(now)
-    _answer(state, asked, granted=granted)
+    _answer(state, request, granted=granted)
 
 
-def _is_up_to_date(state: ReplicaState, asked: VoteRequest) -> bool:
-    theirs = (asked.last_term, asked.last_index)
+def _is_up_to_date(state: ReplicaState, request: VoteRequest) -> bool:
+    theirs = (request.last_term, request.last_index)
     return theirs >= (state.log.last_term, state.log.last_index)
 
 
-def _answer(state: ReplicaState, asked: VoteRequest, *, granted: bool) -> None:
-    term = asked.term if granted else state.term
-    answer = VoteAnswer(term, state.myself, asked.pre, granted)
-    state.send(asked.sender.name, answer)
+def _answer(
+    state: ReplicaState, request: VoteRequest, *, granted: bool
+) -> None:
+    term = request.term if granted else state.term
+    answer = VoteAnswer(term, state.myself, request.pre, granted)
+    state.send(request.sender.name, answer)
--- a/redwingstream/consensus/log.py
+++ b/redwingstream/consensus/log.py
@@ -112,7 +112,7 @@
 
     def is_joining_at(self, index: int) -> bool:
         """Whether a change of the group was in progress after an entry."""
-        before = [one for one in self._changes if one.index <= index]
+        before = [change for change in self._changes if change.index <= index]
         return bool(before) and before[-1].joining is not None
 
     def group_at(self, index: int) -> Group:
@@ -143,9 +143,9 @@
             self.entries.append(entry)
             self._record_group_change(entry)
 
-    def compact(self, snapshot: Snapshot, kept: int) -> None:
+    def compact(self, snapshot: Snapshot, kept_entries: int) -> None:
         """Set a snapshot of the own state, and keep some entries below it."""
-        base_index = max(self.base_index, snapshot.index - kept)
+        base_index = max(self.base_index, snapshot.index - kept_entries)
         base_term = self.term_at(base_index) or 0
         self.entries = self.entries[base_index - self.base_index :]
         self.base_index = base_index
--- a/redwingstream/consensus/state.py
+++ b/redwingstream/consensus/state.py
@@ -76,7 +76,7 @@
 
 @attrs.define
 class Follower:
-    """Follows a leader, or waits for one.
+    """Role of a replica that follows a leader, or waits for one.
 
     Parameters
     ----------
@@ -100,7 +100,7 @@
 
 @attrs.define
 class Candidate:
-    """Asks for votes.
+    """Role of a replica that asks for votes.
 
     Parameters
     ----------
@@ -134,7 +134,7 @@
     heard_at, sent_at : float
         Times in seconds of its last answer and of the last message to it.
     awaits_answer : bool
-        True while an answer is outstanding.
+        True while its answer to the last message is outstanding.
     snapshot_offset : int or None
         Position in bytes of the next part of the snapshot to send; None while
         entries are sent.
@@ -160,7 +160,7 @@
 
 @attrs.define
 class Leader:
-    """Leads a term.
+    """Role of the leader of a term.
 
     Parameters
     ----------
@@ -175,7 +175,7 @@
     round : int
         Number of its current round of messages.
     reads : list of PendingRead
-        Oldest first.
+        Reads that wait for a majority, oldest first.
     handing_over : bool
         True once it hands its leadership over; it rejects commands then.
     """
@@ -262,9 +262,9 @@
             return tuple(
                 name for name in self.names if name != self.myself.name
             )
-        counting = {voter.name for group in self.groups for voter in group}
+        voters = {voter.name for group in self.groups for voter in group}
         return tuple(
-            sorted((counting | self.peer_by_name.keys()) - {self.myself.name})
+            sorted((voters | self.peer_by_name.keys()) - {self.myself.name})
         )
 
     @property
--- a/redwingstream/control/members.py
+++ b/redwingstream/control/members.py
@@ -68,7 +68,7 @@
         leases = self._current_leases()
         known = self._member(announce.host)
         if leases is None:
-            reply(self._ack_elsewhere(known, boot))
+            reply(self._ack_as_follower(known, boot))
             return
         now = self._clock()
         match leases.on_announce(announce, boot, known, now):
@@ -88,7 +88,7 @@
         leases = self._current_leases()
         known = self._member(beat.host)
         if leases is None:
-            reply(self._ack_elsewhere(known, boot))
+            reply(self._ack_as_follower(known, boot))
             return
         if not leases.on_heartbeat(beat, boot, known, self._clock()):
             reply(self._refusal('no such run is a member; announce it'))
@@ -151,7 +151,7 @@
             exclusion_reason(state, member),
         )
 
-    def _ack_elsewhere(self, known: Member | None, boot: int) -> HeartbeatAck:
+    def _ack_as_follower(self, known: Member | None, boot: int) -> HeartbeatAck:
         # A follower may be behind; the leader knows members that it does not.
         same_run = known is not None and known.boot == boot
         incarnation = known.incarnation if same_run else 0
--- a/redwingstream/control/replica.py
+++ b/redwingstream/control/replica.py
@@ -29,7 +29,7 @@
 
 _logger = logging.getLogger(__name__)
 
-SNAPSHOT_EVERY = 1000
+SNAPSHOT_INTERVAL = 1000
 KEPT_ENTRIES = 500
 
 OutcomeCallback = Callable[[CommandResult | RedwingstreamError], None]
@@ -70,7 +70,7 @@
         Number of entries below the snapshot that stay in memory.
     """
 
-    interval: int = SNAPSHOT_EVERY
+    interval: int = SNAPSHOT_INTERVAL
     kept_entries: int = KEPT_ENTRIES
 
 
@@ -89,11 +89,11 @@
     Parameters
     ----------
     consensus : Consensus
-        Decides; restored from ``loaded`` here.
-    store : Store
+        State of the consensus; it is restored from ``loaded`` here.
+    store : ReplicaStore
         Durable state.
-    loaded : Loaded
-        What was stored.
+    loaded : LoadedState
+        The stored state.
     environment : ReplicaEnvironment
         Network, clock and event loop.
     snapshot_rule : SnapshotRule
--- a/redwingstream/control/tests/test_recovery.py
+++ b/redwingstream/control/tests/test_recovery.py
@@ -64,7 +64,7 @@
         return ReplicaStore(folder).load(int)
 
 
-class TestRecoverAlone:
+class TestRecoverSingleReplica:
     """Recovery from the data folder of one replica."""
 
     @pytest.mark.parametrize('confirmed', [None, 0, 2])
