--- a/redwingstream/control/tests/fakes.py
+++ b/redwingstream/control/tests/fakes.py
@@ -256,7 +256,7 @@
                 self.checker.check_leader(term, node.name)
 
     def propose(self, name: str, request: ChangeRequest) -> None:
-        """Ask one replica for a change."""
+        """Propose a change to one replica."""
 
         def act(replica: Replica) -> None:
             try:
@@ -296,7 +296,7 @@
         return max(leading, key=_term_of, default=None)
 
     def isolate(self, name: str) -> None:
-        """Cut a replica off from the others, both ways."""
+        """Partition a replica from all others, in both directions."""
         for other in self.names:
             self.cut_links.update({(name, other), (other, name)})
 
