--- a/redwingstream/consensus/events.py
+++ b/redwingstream/consensus/events.py
@@ -68,7 +68,7 @@
         Index of the last entry that it contains; it must have been applied.
     state : bytes
         Encoded state of the state machine.
-    kept : int
+    kept_entries : int
         Number of entries below the index that stay in memory, so that a
         replica that is slightly behind needs no snapshot.
     """
--- a/redwingstream/consensus/group_formation.py
+++ b/redwingstream/consensus/group_formation.py
@@ -42,8 +42,8 @@
 
 def _form_if_all_fresh(state: ReplicaState) -> None:
     # A majority of empty folders may be a majority of lost disks, and a group
-    # that they form would have lost committed entries.  Nothing can have been
-    # committed only if all replicas report that they are empty.
+    # that they form would have lost committed entries.  It is certain that
+    # nothing was committed only if all replicas report empty folders.
     if state.log.group or len(state.fresh_by_name) < len(state.others):
         return
     voters = (state.myself, *state.fresh_by_name.values())
--- a/redwingstream/consensus/messages.py
+++ b/redwingstream/consensus/messages.py
@@ -147,7 +147,8 @@
     sender : Voter
         The answering replica.
     accepted : bool
-        False when the sender's log lacks the entry before the first one.
+        False when the answering replica's log lacks the entry before the first
+        one, or when its term is newer.
     match : int
         Synced index up to which its log equals the leader's; if not accepted,
         the index of the entry after which the leader should try next.
@@ -244,7 +245,10 @@
 
 @message(kind=58)
 class JoinReplica:
-    """Starts a change of the group; from now on both groups have to agree.
+    """Starts a change of the group, once the new voter has caught up.
+
+    From this entry on, the group before the change and the one after it have
+    to agree.
 
     Parameters
     ----------
--- a/redwingstream/consensus/tests/test_core.py
+++ b/redwingstream/consensus/tests/test_core.py
@@ -64,7 +64,7 @@
 
 
 def sent_to(effects: Effects, name: str) -> list[object]:
-    """Return what goes to a replica."""
+    """Return the messages to a replica."""
     return [out.message for out in effects.outgoing if out.target == name]
 
 
