--- a/redwingstream/control/tests/test_recovery.py
+++ b/redwingstream/control/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""What a recovered replica goes on from."""
+"""Recovery of a single replica: refusal without confirmation, and result."""
 
 import pathlib
 
@@ -6,7 +6,7 @@
 
 from redwingstream.consensus.events import HardState
 from redwingstream.consensus.messages import Entry, Snapshot, Voter
-from redwingstream.control.recovery import MOVED_AHEAD, recover_single_replica
+from redwingstream.control.recovery import INDEX_JUMP, recover_single_replica
 from redwingstream.control.settings import ControlSettings
 from redwingstream.endpoints import Endpoint
 from redwingstream.errors import SettingError
@@ -64,15 +64,16 @@
         return ReplicaStore(folder).load(int)
 
 
-class TestRecoverAlone:
-    """Operators go on from one data folder."""
+class TestRecoverSingleReplica:
+    """Recovery from the data folder of one replica."""
 
     @pytest.mark.parametrize('confirmed', [None, 0, 2])
-    def test_says_first_what_is_lost(self, settings, confirmed) -> None:
-        """An operator runs the command without a word on what may be lost.
+    def test_reports_first_what_may_be_lost(self, settings, confirmed) -> None:
+        """An operator must not lose changes without having confirmed it.
 
-        It changes nothing, names the revision that the folder ends at and the
-        zones out of service, and how to confirm.
+        Without a matching confirmation nothing is changed.  The error names
+        the last revision in the folder, the zones out of service, and the
+        option that confirms.
         """
         before = load(settings)
         with pytest.raises(SettingError, match='maipu') as caught:
@@ -80,35 +81,36 @@
         assert '--lose-changes-after 1;' in str(caught.value)
         assert load(settings) == before
 
-    def test_goes_on_from_far_above(self, settings) -> None:
-        """Balancers kept lost tables after a recovery, and for good.
+    def test_continues_with_much_higher_numbers(self, settings) -> None:
+        """Balancers must not keep lost tables after a recovery.
 
-        They had taken up revisions that the survivor had never seen, so its
-        tables looked older to them, and agents fenced its views.
+        They may have applied revisions that the surviving replica has never
+        seen.  Its tables would look older to them, and agents would fence its
+        views.
         """
         recovered = recover_single_replica(settings, 1)
         assert (
             recovered.revision == recovered.config_revision == recovered.index
         )
-        assert recovered.index == 2 + MOVED_AHEAD
+        assert recovered.index == 2 + INDEX_JUMP
         loaded = load(settings)
         assert loaded.hard_state == HardState(4, '')
         assert loaded.snapshot.group == (Voter(str(ENDPOINT), 1),)
         assert not loaded.entries
 
-    def test_views_follow_one_that_nobody_knows(self, settings) -> None:
-        """A replayed reading ran again after a recovery.
+    def test_views_follow_an_unknown_earlier_view(self, settings) -> None:
+        """A replayed request must not run again after a recovery.
 
-        Its bucket had moved under a view that was lost; the new home heard
-        from the pair of the last view that was known and thought that it had
-        every record.  An earlier view that nobody can be asked about stands
-        for the lost ones, so that homes treat what may be a replay as one.
+        Its bucket moved under a view that was lost.  The new home asks the
+        home and heir of the last known view, and would conclude that it has
+        every record.  An earlier view whose member cannot be reached stands
+        for the lost ones, so that homes treat possible replays as replays.
         """
         recover_single_replica(settings, 1)
         machine = StateMachine()
         machine.load(load(settings).snapshot.state)
         view = machine.state.view_by_pool['sward-live']
-        assert view.number == 2 + MOVED_AHEAD
+        assert view.number == 2 + INDEX_JUMP
         keeper = BucketKeeper('sward-1', 2, view.pool, MemoryStore(), 247)
         keeper.apply_view(view, 0)
         for second in range(247):
