--- a/asv_bench/heartbeats.py
+++ b/asv_bench/heartbeats.py
@@ -14,7 +14,7 @@
 from asv_bench.fleets import Fleet, FleetShape
 from redwingstream.control.members import MemberService
 from redwingstream.membership.messages import Announce, Challenge, Heartbeat
-from redwingstream.tables.machine.machine import StateMachine
+from redwingstream.tables.machine.state_machine import StateMachine
 from redwingstream.wire.frames import FrameCodec
 
 SIZES = (200, 400, 800, 1600)
--- a/redwingstream/control/members.py
+++ b/redwingstream/control/members.py
@@ -23,7 +23,7 @@
     Heartbeat,
     HeartbeatAck,
 )
-from redwingstream.tables.machine.machine import CommandResult
+from redwingstream.tables.machine.state_machine import CommandResult
 from redwingstream.tables.machine.views import exclusion_reason
 from redwingstream.tables.rows import Member
 
--- a/redwingstream/control/replica.py
+++ b/redwingstream/control/replica.py
@@ -24,7 +24,10 @@
     StorageError,
 )
 from redwingstream.storage.store import LoadedState, ReplicaStore
-from redwingstream.tables.machine.machine import StateMachine, CommandResult
+from redwingstream.tables.machine.state_machine import (
+    StateMachine,
+    CommandResult,
+)
 from redwingstream.wire import messages
 
 _logger = logging.getLogger(__name__)
--- a/redwingstream/control/service.py
+++ b/redwingstream/control/service.py
@@ -20,7 +20,7 @@
     ReadTables,
     TablesRead,
 )
-from redwingstream.tables.machine.machine import CommandResult
+from redwingstream.tables.machine.state_machine import CommandResult
 from redwingstream.tables.messages import (
     FetchTables,
 )
--- a/redwingstream/control/tests/fakes.py
+++ b/redwingstream/control/tests/fakes.py
@@ -29,7 +29,7 @@
     ChangeAnswer,
     ChangeRequest,
 )
-from redwingstream.tables.machine.machine import StateMachine
+from redwingstream.tables.machine.state_machine import StateMachine
 from redwingstream.wire import messages
 
 TICK = 0.05
--- a/redwingstream/control/tests/test_recovery.py
+++ b/redwingstream/control/tests/test_recovery.py
@@ -21,7 +21,7 @@
     SetPool,
     SetZone,
 )
-from redwingstream.tables.machine.machine import StateMachine
+from redwingstream.tables.machine.state_machine import StateMachine
 from redwingstream.tables.machine.messages import AdmitMember
 from redwingstream.tables.rows import Pool, Role, ZoneMark
 from redwingstream.wire import messages
--- a/redwingstream/directory/tests/test_inquiry.py
+++ b/redwingstream/directory/tests/test_inquiry.py
@@ -19,7 +19,7 @@
     Wanted,
 )
 from redwingstream.packets.flow import Address
-from redwingstream.tables.machine.machine import StateMachine
+from redwingstream.tables.machine.state_machine import StateMachine
 
 CONTROL = Address(101)
 CONTROLS = tuple(map(Address, range(101, 113)))
--- a/redwingstream/fleet/outcomes.py
+++ b/redwingstream/fleet/outcomes.py
@@ -7,7 +7,7 @@
     RedwingstreamError,
     ResultCode,
 )
-from redwingstream.tables.machine.machine import CommandResult
+from redwingstream.tables.machine.state_machine import CommandResult
 
 CHANGE_TIMEOUT = 3.0
 """Seconds that a change may wait for a majority until its sender is told that
--- a/redwingstream/fleet/replication.py
+++ b/redwingstream/fleet/replication.py
@@ -24,7 +24,7 @@
 from redwingstream.fleet.process import Process, ProcessReady
 from redwingstream.packets.flow import Address
 from redwingstream.storage.disk import DiskFolder, open_folder
-from redwingstream.tables.machine.machine import CommandResult
+from redwingstream.tables.machine.state_machine import CommandResult
 from redwingstream.telemetry.histogram import Histogram
 
 REOPEN_AFTER = 0.5
--- a/redwingstream/fleet/tests/test_control.py
+++ b/redwingstream/fleet/tests/test_control.py
@@ -17,7 +17,7 @@
 )
 from redwingstream.packets.flow import address_of
 from redwingstream.storage.disk import open_folder
-from redwingstream.tables.machine.machine import StateMachine
+from redwingstream.tables.machine.state_machine import StateMachine
 from redwingstream.wire.frames import FrameCodec
 
 OTHER_CONTROL = address_of('10.2.0.100', 7720)
--- a/redwingstream/fleet/tests/test_fleet_record_store.py
+++ b/redwingstream/fleet/tests/test_fleet_record_store.py
@@ -15,7 +15,7 @@
 )
 from redwingstream.packets.flow import Address
 from redwingstream.storage.tests.fakes import FakeFolder
-from redwingstream.tables.machine.machine import StateMachine
+from redwingstream.tables.machine.state_machine import StateMachine
 
 CONTROLS = (Address(1), Address(2))
 BALANCER = Address(11)
--- a/redwingstream/fleet/tests/test_inquiry_handler.py
+++ b/redwingstream/fleet/tests/test_inquiry_handler.py
@@ -33,7 +33,7 @@
     TableSource,
 )
 from redwingstream.packets.flow import Address
-from redwingstream.tables.machine.machine import StateMachine
+from redwingstream.tables.machine.state_machine import StateMachine
 
 OWN = Address(101)
 OTHER = Address(102)
--- a/redwingstream/fleet/tests/test_large_start.py
+++ b/redwingstream/fleet/tests/test_large_start.py
@@ -23,7 +23,7 @@
 )
 from redwingstream.fleet.inquiry_handler import InquiryHandler, TableSource
 from redwingstream.packets.flow import Address
-from redwingstream.tables.machine.machine import StateMachine
+from redwingstream.tables.machine.state_machine import StateMachine
 from redwingstream.wire.frames import FrameCodec
 from redwingstream.wire.messages import decode, encode
 
--- a/redwingstream/tables/__init__.py
+++ b/redwingstream/tables/__init__.py
@@ -1,17 +1,19 @@
-"""The operators' tables and what every process knows of them.
+"""Replicated tables of routes, pools, zones, members and views.
 
 Modules
 -------
 rows
-    Route, pool, zone mark, member and view: the rows and how they are named.
+    Classes of the rows and the keys that identify them in their tables.
 snapshot
-    An unchangeable copy of all tables at one revision.
+    Immutable copy of all tables at one revision.
 messages
-    How processes fetch tables and how operators change them.
+    Messages by which processes fetch tables.
+edits
+    Messages by which operators change and read the tables.
 history
-    The tables of a process that follows, with its latest updates.
+    Tables of a follower (a process that polls them) and its latest updates.
 routing
-    Which pool a caller's traffic belongs to.
+    Lookup of the route for a caller and a service.
 machine
-    The replicated state machine.
+    The state machine that the control instances replicate.
 """
--- a/redwingstream/tables/edits.py
+++ b/redwingstream/tables/edits.py
@@ -1,4 +1,4 @@
-"""How operators change the tables, and read them."""
+"""Messages by which operators change and read the tables."""
 
 import attrs
 
@@ -9,14 +9,14 @@
 
 @attrs.frozen
 class SetRoute:
-    """Add a route or replace the one with its key."""
+    """Add a route, or replace the one with the same key."""
 
     row: Route
 
 
 @attrs.frozen
 class SetPool:
-    """Add a pool or replace the one of its name."""
+    """Add a pool, or replace the one with the same name."""
 
     row: Pool
 
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class DrainMember:
-    """Let a host drain, in this run and later ones, or take that back."""
+    """Drain a host, in its current and later runs, or cancel that."""
 
     host: str
     draining: bool
@@ -48,7 +48,7 @@
 
 @attrs.frozen
 class Edits:
-    """Edits of one change, grouped by class so that a codec can type them.
+    """Edits of one change, grouped by class, as the codec requires.
 
     They take effect together, in the order of the fields.
     """
@@ -72,19 +72,20 @@
 
 @message(kind=18)
 class ChangeRequest:
-    """An operators' change of the tables.
+    """Change of the tables by an operator.
 
     Parameters
     ----------
     request_id : str
-        Chosen by the operator's tool; a resend carries the same one and gets
-        the first answer.
+        Chosen by the operator's tool; a retry has the same one and gets the
+        first answer.
     based_on : int
-        Configuration revision that the operator looked at.
+        Configuration revision that the operator read before the change.
     edits : Edits
-        What to change.
+        Edits to apply.
     force : bool
-        Accept also what would empty a pool in use or name a missing pool.
+        Also accept a change that empties a pool in use or refers to a missing
+        pool.
     """
 
     request_id: str
@@ -95,19 +96,19 @@
 
 @message(kind=19)
 class ChangeAnswer:
-    """What became of a change.
+    """Answer to a change.
 
     Parameters
     ----------
     code : int
-        ``OK`` when it was accepted, else the reason why not.
+        ``OK`` if the change was accepted, otherwise the code of the refusal.
     text : str
-        The reason in words; empty when accepted.
+        Reason of the refusal; empty if accepted.
     revision : int
-        At which configuration revision it was accepted, or the current one
-        when it was refused.
+        Configuration revision of the accepted change, or the current one if
+        it was refused.
     warnings : tuple of str
-        What a forced change does.
+        Harmful effects of a forced change.
     """
 
     code: int
@@ -118,7 +119,7 @@
 
 @message(kind=20)
 class ReadTables:
-    """Ask the leader for the tables as of now (a linearizable read)."""
+    """Ask the leader for the current tables (a linearizable read)."""
 
 
 @message(kind=21)
@@ -128,10 +129,10 @@
     Parameters
     ----------
     config_revision : int
-        Revision of the last accepted operators' change; what a next change
-        is based on.
+        Revision of the last change by operators that was accepted; the next
+        change has to be based on it.
     update : TablesUpdate
-        A full copy.
+        Full copy of the tables.
     """
 
     config_revision: int
--- a/redwingstream/tables/history.py
+++ b/redwingstream/tables/history.py
@@ -1,4 +1,4 @@
-"""The tables of a process that follows, with its latest updates kept."""
+"""Tables of a follower, with the latest updates that led to them."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -8,27 +8,32 @@
 from redwingstream.tables.rows import Row
 from redwingstream.tables.snapshot import Tables
 
-# Latest updates that a process keeps for its peers.
-KEPT_UPDATES = 256
+# Maximum number of updates that a process keeps for its peers.
+MAX_KEPT_UPDATES = 256
 
 
 class TablesHistory:
-    """Tables of one process and the updates that led to them.
+    """Tables of one process and the latest updates that led to them.
 
-    The updates let it pass on to a peer just what the peer is missing.
+    The updates let the process send a peer only the changes that it lacks.
+
+    Attributes
+    ----------
+    tables : Tables
+        Newest tables received so far.
 
     Notes
     -----
-    At most ``KEPT_UPDATES`` updates are kept; a peer that is further behind
-    gets a full copy.
+    At most ``MAX_KEPT_UPDATES`` updates are kept; a peer that is further
+    behind gets a full copy of the tables.
     """
 
     def __init__(self) -> None:
         self.tables = Tables()
-        self._updates: deque[TablesUpdate] = deque(maxlen=KEPT_UPDATES)
+        self._updates: deque[TablesUpdate] = deque(maxlen=MAX_KEPT_UPDATES)
 
     def apply_update(self, update: TablesUpdate) -> bool:
-        """Apply an update; return whether it brought anything newer."""
+        """Apply an update; return whether it is newer than the tables."""
         newer = self.tables.updated(update)
         if newer is self.tables:
             return False
@@ -40,7 +45,7 @@
         return True
 
     def update_since(self, revision: int) -> TablesUpdate:
-        """Return what changed after a revision, or a full copy."""
+        """Return the changes after a revision, or a full copy."""
         wanted = [
             update for update in self._updates if update.revision > revision
         ]
@@ -49,44 +54,44 @@
             return TablesUpdate(since=own, revision=own)
         if revision == 0 or not wanted or wanted[0].since > revision:
             return self.tables.as_update()
-        return compose(revision, wanted)
+        return merge_updates(revision, wanted)
 
 
-def compose(since: int, updates: Iterable[TablesUpdate]) -> TablesUpdate:
-    """Return one update with the effect of several in a row.
+def merge_updates(since: int, updates: Iterable[TablesUpdate]) -> TablesUpdate:
+    """Return one update with the effect of several consecutive ones.
 
     Parameters
     ----------
     since : int
-        Revision that the result starts from.
+        Revision to which the result applies.
     updates : iterable of TablesUpdate
-        In order and without gaps.
+        Updates in order and without gaps.
 
     Returns
     -------
     TablesUpdate
-        The last word on each row.
+        The newest version of each row.
     """
     row_by_name: dict[RowName, Row | None] = {}
     revision = since
     for update in updates:
         revision = update.revision
-        row_by_name.update(_rows_of(update))
+        row_by_name.update(_rows_by_name(update))
     return TablesUpdate(
         since=since,
         revision=revision,
-        routes=_present(row_by_name, Table.ROUTE),
-        pools=_present(row_by_name, Table.POOL),
-        zones=_present(row_by_name, Table.ZONE),
-        members=_present(row_by_name, Table.MEMBER),
-        views=_present(row_by_name, Table.VIEW),
-        generations=_present(row_by_name, Table.GENERATION),
+        routes=_present_rows(row_by_name, Table.ROUTE),
+        pools=_present_rows(row_by_name, Table.POOL),
+        zones=_present_rows(row_by_name, Table.ZONE),
+        members=_present_rows(row_by_name, Table.MEMBER),
+        views=_present_rows(row_by_name, Table.VIEW),
+        generations=_present_rows(row_by_name, Table.GENERATION),
         removed=tuple(name for name, row in row_by_name.items() if row is None),
     )
 
 
-def _rows_of(update: TablesUpdate) -> dict[RowName, Row | None]:
-    """Return the rows of an update by name; None for a row that is gone."""
+def _rows_by_name(update: TablesUpdate) -> dict[RowName, Row | None]:
+    """Return the rows of an update by name; None for a removed row."""
     rows_by_table = {
         Table.ROUTE: update.routes,
         Table.POOL: update.pools,
@@ -101,7 +106,7 @@
     return row_by_name
 
 
-def _present(
+def _present_rows(
     row_by_name: dict[RowName, Row | None], table: Table
 ) -> tuple[Any, ...]:
     return tuple(
--- a/redwingstream/tables/machine/__init__.py
+++ b/redwingstream/tables/machine/__init__.py
@@ -1,17 +1,23 @@
-"""The replicated state machine: tables, members, views, operators' answers.
+"""State machine that control instances replicate by their log.
+
+Its state holds the tables, including members and views, and the latest answers
+to operators.
 
 Modules
 -------
 messages
-    Commands besides the operators' changes.
+    Commands in log entries, besides changes by operators.
 state
-    Everything that entries change, and how it is stored.
+    The replicated state and its serialization.
 machine
-    Applies entries, one after the other.
+    Application of log entries in order.
 changes, checks
-    Operators' changes: conflicts, resends, rows and what a change empties.
+    Changes by operators: conflicts, retries, validation of rows and detection
+    of pools that a change empties.
+replacements
+    Replacement of the whole configuration.
 members, views
-    Admission of members, and the views that follow from them.
+    Admission and removal of members, and the views computed from them.
 deltas
-    What changed since a recent revision.
+    Rows that recent revisions changed.
 """
--- a/redwingstream/tables/machine/changes.py
+++ b/redwingstream/tables/machine/changes.py
@@ -1,4 +1,4 @@
-"""Operators' changes: conflicts, resends and what a change may break."""
+"""Changes by operators: conflicts, retries and effects on pools in use."""
 
 import copy
 import hashlib
@@ -38,21 +38,30 @@
 def apply_change(
     state: MachineState, request: ChangeRequest, index: int
 ) -> ChangeAnswer:
-    """Accept or refuse a change; a resend gets the first answer.
+    """Accept or refuse a change; a retry gets the first answer.
+
+    Parameters
+    ----------
+    state : MachineState
+        Replicated state, updated in place.
+    request : ChangeRequest
+        The change.
+    index : int
+        Index of its log entry.
 
     Notes
     -----
-    Two operators who looked at the same revision race each other: the first
-    one in the log wins, since the configuration revision moves with it.  The
-    request ids are part of the replicated state, so that an operator whose
-    answer was lost can ask any later leader.
+    If two operators send changes based on the same revision, the first one in
+    the log is accepted and increases the configuration revision, so that the
+    second one conflicts.  The request ids are part of the replicated state, so
+    that an operator whose answer was lost can retry with any later leader.
     """
     digest = _digest(request)
     known = state.answer_by_request.get(request.request_id)
     if known is None:
-        answer = _decide(state, request, index)
+        answer = _answer_for(state, request, index)
         remembered = RememberedAnswer(request.request_id, digest, answer)
-        state.remember(remembered)
+        state.record_answer(remembered)
         return answer
     if known.digest == digest:
         return known.answer
@@ -64,7 +73,7 @@
     )
 
 
-def _decide(
+def _answer_for(
     state: MachineState, request: ChangeRequest, index: int
 ) -> ChangeAnswer:
     if request.based_on != state.config_revision:
@@ -75,16 +84,16 @@
             'came first; look at it and send yours again based on that one',
             state.config_revision,
         )
-    trial = _copy_of(state)
+    trial = _copy_state(state)
     try:
-        warnings = _try_edits(trial, request, index, state)
+        warnings = _apply_edits(trial, request, index, state)
     except ChangeRefusedError as error:
         return ChangeAnswer(error.code, str(error), state.config_revision)
-    _take_over(state, trial, index)
+    _commit(state, trial, index)
     return ChangeAnswer(ResultCode.OK, '', index, warnings)
 
 
-def _try_edits(
+def _apply_edits(
     trial: MachineState,
     request: ChangeRequest,
     index: int,
@@ -130,7 +139,7 @@
         state.put(Table.MEMBER, host, changed)
 
 
-def _copy_of(state: MachineState) -> MachineState:
+def _copy_state(state: MachineState) -> MachineState:
     trial = copy.copy(state)
     trial.route_by_key = dict(state.route_by_key)
     trial.pool_by_name = dict(state.pool_by_name)
@@ -138,18 +147,18 @@
     trial.member_by_host = dict(state.member_by_host)
     trial.view_by_pool = dict(state.view_by_pool)
     trial.drained_hosts = set(state.drained_hosts)
-    trial.touched = list(state.touched)
+    trial.changed_rows = list(state.changed_rows)
     return trial
 
 
-def _take_over(state: MachineState, trial: MachineState, index: int) -> None:
+def _commit(state: MachineState, trial: MachineState, index: int) -> None:
     state.route_by_key = trial.route_by_key
     state.pool_by_name = trial.pool_by_name
     state.zone_by_name = trial.zone_by_name
     state.member_by_host = trial.member_by_host
     state.view_by_pool = trial.view_by_pool
     state.drained_hosts = trial.drained_hosts
-    state.touched = trial.touched
+    state.changed_rows = trial.changed_rows
     state.config_revision = index
 
 
--- a/redwingstream/tables/machine/members.py
+++ b/redwingstream/tables/machine/members.py
@@ -15,17 +15,17 @@
 def admit_member(
     state: MachineState, command: AdmitMember, index: int
 ) -> Member:
-    """Make a run of a process a member, with the index as its incarnation.
+    """Admit a run of a process, with the entry's index as its incarnation.
 
     Notes
     -----
-    The same run gets the same incarnation again, since its announcement may
-    be repeated after a lost answer.  Another run of the host always gets a
-    higher one, so that late messages of the former run are told apart.
+    The same run gets the same incarnation again, since its announcement is
+    repeated if the answer is lost.  Another run of the host always gets a
+    higher one, so that delayed messages of the former run can be recognized.
 
-    A host that operators drain goes on draining in its next run.  Were the
-    mark part of the run, a restart or a lease that ends would undo a change
-    that was accepted.
+    A host that operators drain keeps draining in its next run.  If draining
+    were an attribute of the run, a restart or an expired lease would undo an
+    accepted change.
     """
     known = state.member_by_host.get(command.host)
     if known is not None and known.boot == command.boot:
@@ -46,7 +46,7 @@
 
 
 def leave_member(state: MachineState, command: LeaveMember) -> None:
-    """Let a member drain: it leaves the views and stays a member."""
+    """Set a member to draining: it leaves the views but stays a member."""
     known = state.member_by_host.get(command.host)
     if known is not None and known.incarnation == command.incarnation:
         drained = attrs.evolve(known, draining=True)
@@ -54,7 +54,7 @@
 
 
 def remove_member(state: MachineState, command: RemoveMember) -> None:
-    """Remove a silent member, unless a later run has come instead."""
+    """Remove a silent member, unless a later run has replaced it."""
     known = state.member_by_host.get(command.host)
     if known is not None and known.incarnation == command.incarnation:
         state.drop(Table.MEMBER, command.host)
--- a/redwingstream/tables/machine/messages.py
+++ b/redwingstream/tables/machine/messages.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated log besides the operators' changes."""
+"""Commands of the replicated log, besides changes by operators."""
 
 import attrs
 
@@ -8,14 +8,14 @@
 
 @message(kind=42)
 class AdmitMember:
-    """A process that announced itself becomes a member.
+    """Admit a process that announced itself as a member.
 
     Parameters
     ----------
     host, role, endpoint, zone, pool, weight
         As in :class:`redwingstream.membership.messages.Announce`.
     boot : int
-        Random number of its run; the same one gets the same incarnation.
+        Random number of its run; the same number gets the same incarnation.
     """
 
     host: str
@@ -29,14 +29,14 @@
 
 @message(kind=43)
 class RemoveMember:
-    """A member has been silent for its lease.
+    """Remove a member whose lease has expired without a message from it.
 
     Parameters
     ----------
     host : str
-        Its name.
+        Name of the member's host.
     incarnation : int
-        Which run; a later one is not removed.
+        Incarnation (admitted run) to remove; a later one is kept.
     """
 
     host: str
@@ -45,14 +45,17 @@
 
 @message(kind=44)
 class SettleView:
-    """Every member of a pool's newest view holds all its buckets.
+    """Mark the newest view of a pool as settled.
+
+    Every home of the view is in effect and its heir holds the whole contents of
+    the bucket.
 
     Parameters
     ----------
     pool : str
         Name of the pool.
     number : int
-        Which view; a later one stays unsettled.
+        Number of the view; a later view stays unsettled.
     """
 
     pool: str
@@ -61,14 +64,14 @@
 
 @message(kind=45)
 class LeaveMember:
-    """A member wants to drain because it was told to stop.
+    """Set a member to draining because it was told to stop.
 
     Parameters
     ----------
     host : str
-        Its name.
+        Name of the member's host.
     incarnation : int
-        Which run.
+        Incarnation (admitted run) that drains.
     """
 
     host: str
@@ -77,16 +80,16 @@
 
 @attrs.frozen
 class Replacement:
-    """A whole configuration, in place of the one in force.
+    """Whole configuration that replaces the current one.
 
     Parameters
     ----------
     generation : Generation
-        Its version; it takes effect when it is higher than the one in force.
+        Its version; it takes effect if it is higher than the current one.
     routes, pools
         All rows of these tables.
     document : bytes
-        The configuration as operators wrote it, for whoever reads it back.
+        The configuration as operators wrote it, returned when they read it.
     """
 
     generation: Generation
@@ -97,16 +100,16 @@
 
 @message(kind=46)
 class StageReplacement:
-    """A part of a replacement; the last part that comes makes it take effect.
+    """Part of a replacement, which takes effect once all parts have arrived.
 
     Parameters
     ----------
     digest : bytes
-        Of the whole packed :class:`Replacement`.
+        Digest of the whole encoded and compressed :class:`Replacement`.
     part, parts : int
-        Which part of how many, from 0.
+        Number of the part, from 0, and count of all parts.
     contents : bytes
-        The part's bytes.
+        Bytes of the part.
     """
 
     digest: bytes
@@ -117,14 +120,14 @@
 
 @message(kind=47)
 class MarkZone:
-    """Operators take an availability zone out of service or back in.
+    """Take an availability zone out of service or put it back.
 
     Parameters
     ----------
     zone : str
-        Its name.
+        Name of the zone.
     out : bool
-        True to take it out.
+        True to take it out of service.
     """
 
     zone: str
--- a/redwingstream/tables/machine/deltas.py
+++ b/redwingstream/tables/machine/recent_changes.py
@@ -1,4 +1,4 @@
-"""What changed since a recent revision."""
+"""Rows that recent revisions changed."""
 
 from collections import deque
 
@@ -7,48 +7,52 @@
 from redwingstream.tables.machine.state import MachineState
 from redwingstream.tables.messages import RowName, Table, TablesUpdate
 
-MAX_STEPS = 1024
+# Maximum number of revisions whose changed rows are kept.
+MAX_KEPT_REVISIONS = 1024
 
 
 @attrs.frozen
-class _Step:
+class _RevisionChange:
     revision: int
-    touched: tuple[RowName, ...]
+    changed_rows: tuple[RowName, ...]
 
 
-class Deltas:
+class RecentChanges:
     """Names of the rows that each of the last revisions changed.
 
     Parameters
     ----------
     start : int
-        Revision from which on changes are known.
+        Revision after which changes are known.
 
     Notes
     -----
-    Not part of the replicated state: a replica that has loaded a snapshot
-    answers with full copies until it has seen changes itself.
+    This is not part of the replicated state: a replica that has loaded a
+    snapshot answers requests for earlier revisions with full copies.
     """
 
     def __init__(self, start: int) -> None:
         self._start = start
-        self._steps: deque[_Step] = deque()
+        self._changes: deque[_RevisionChange] = deque()
 
-    def note(self, revision: int, touched: list[RowName]) -> None:
-        """Remember what a revision changed, and forget the oldest."""
-        self._steps.append(_Step(revision, tuple(touched)))
-        if len(self._steps) > MAX_STEPS:
-            self._start = self._steps.popleft().revision
+    def record_revision(
+        self, revision: int, changed_rows: list[RowName]
+    ) -> None:
+        """Record the rows that a revision changed; evict the oldest."""
+        self._changes.append(_RevisionChange(revision, tuple(changed_rows)))
+        if len(self._changes) > MAX_KEPT_REVISIONS:
+            self._start = self._changes.popleft().revision
 
-    def since(self, state: MachineState, revision: int) -> TablesUpdate:
+    def update_since(self, state: MachineState, revision: int) -> TablesUpdate:
         """Return the changes after a revision, or a full copy.
 
         Parameters
         ----------
         state : MachineState
-            The state now.
+            Current state.
         revision : int
-            What the asking process has; 0, or one too old, gets a full copy.
+            Revision of the requesting process; 0, or one that is no longer
+            covered, gets a full copy.
         """
         if revision > state.revision:
             return TablesUpdate(since=state.revision, revision=state.revision)
@@ -56,18 +60,18 @@
             return state.tables().as_update()
         names = {
             name
-            for step in self._steps
-            if step.revision > revision
-            for name in step.touched
+            for change in self._changes
+            if change.revision > revision
+            for name in change.changed_rows
         }
-        return _update_of(state, revision, sorted(names, key=_sort_key))
+        return _make_update(state, revision, sorted(names, key=_sort_key))
 
 
 def _sort_key(name: RowName) -> str:
     return f'{name.table.value} {name.key}'
 
 
-def _update_of(
+def _make_update(
     state: MachineState, since: int, names: list[RowName]
 ) -> TablesUpdate:
     present = [name for name in names if name.key in state.rows_of(name.table)]
--- a/redwingstream/tables/machine/replacements.py
+++ b/redwingstream/tables/machine/replacements.py
@@ -1,8 +1,9 @@
-"""Whole configurations of which the highest version wins.
+"""Replacement of the whole configuration; the highest version applies.
 
-The other kind of change is the operators' edit of single rows
+Operators can also edit single rows
 (:mod:`redwingstream.tables.machine.changes`).  A replacement needs no request
-id: to send it twice changes nothing, and an older one never takes effect.
+id: sending it twice has no further effect, and an older version never takes
+effect.
 """
 
 import hashlib
@@ -33,10 +34,11 @@
 
 _logger = logging.getLogger(__name__)
 
-# Bytes of a part: an entry of this size leaves room for others in one message
-# of 16 KiB between replicas.
+# Bytes of a part.  An entry of this size leaves space for other entries in the
+# messages between replicas, which have at most 16 KiB.
 PART_SIZE = 12288
-# Replacements of which parts are missing; an operator has eight under way.
+# Maximum number of incomplete replacements; an operator has up to eight in
+# progress.
 MAX_STAGED = 16
 _DIGEST_SIZE = 16
 
@@ -44,7 +46,7 @@
 def split_replacement(
     replacement: Replacement,
 ) -> tuple[StageReplacement, ...]:
-    """Return the commands that carry a replacement, in order."""
+    """Return the commands that transmit a replacement, in order."""
     packed = zlib.compress(msgspec.msgpack.encode(replacement))
     digest = _digest(packed)
     starts = range(0, len(packed), PART_SIZE)
@@ -57,32 +59,39 @@
 
 
 def stage_replacement(state: MachineState, command: StageReplacement) -> None:
-    """Keep a part; put the whole into force once it is complete."""
+    """Store a part; apply the replacement once it is complete."""
     known = state.staged_by_digest.pop(command.digest, None)
-    parts = {} if known is None else {held.part: held for held in known.parts}
+    parts = (
+        {}
+        if known is None
+        else {staged_part.part: staged_part for staged_part in known.parts}
+    )
     parts[command.part] = StagedPart(command.part, command.contents)
-    in_order = tuple(held for _, held in sorted(parts.items()))
+    in_order = tuple(staged_part for _, staged_part in sorted(parts.items()))
     if len(in_order) < command.parts:
         staged = StagedReplacement(command.digest, in_order)
         state.staged_by_digest[command.digest] = staged
-        _forget_oldest(state)
+        _evict_oldest(state)
         return
-    packed = b''.join(held.contents for held in in_order)
+    packed = b''.join(staged_part.contents for staged_part in in_order)
     if _digest(packed) == command.digest:
-        _put_into_force(state, _unpack(packed))
+        _apply_replacement(state, _unpack(packed))
         return
-    _logger.error('tables: parts of a replacement do not fit, all dropped.')
+    _logger.error(
+        'tables: parts of a replacement do not match its digest, all dropped.'
+    )
 
 
 def mark_zone(state: MachineState, command: MarkZone) -> None:
-    """Take an availability zone out of service or back in."""
+    """Take an availability zone out of service or put it back."""
     mark = ZoneMark(command.zone, command.out)
     state.put(Table.ZONE, mark.key, mark)
 
 
-def _forget_oldest(state: MachineState) -> None:
-    # An operator whose leader was lost half-way sends the whole again, and the
-    # parts of the first attempt would stay for ever.
+def _evict_oldest(state: MachineState) -> None:
+    # If the leader fails in the middle of a transfer, the operator sends the
+    # whole replacement again.  Parts of the first attempt may never be
+    # completed and would be kept forever.
     while len(state.staged_by_digest) > MAX_STAGED:
         state.staged_by_digest.popitem(last=False)
 
@@ -91,19 +100,19 @@
     return msgspec.msgpack.decode(zlib.decompress(packed), type=Replacement)
 
 
-def _put_into_force(state: MachineState, replacement: Replacement) -> None:
+def _apply_replacement(state: MachineState, replacement: Replacement) -> None:
     current = state.generation
     generation = replacement.generation
     if current is not None and generation.version <= current.version:
         return
-    routes = [_with_earlier(state, route) for route in replacement.routes]
+    routes = [_with_earlier_pools(state, route) for route in replacement.routes]
     _replace_rows(state, Table.ROUTE, routes)
     _replace_rows(state, Table.POOL, replacement.pools)
     state.put(Table.GENERATION, generation.key, generation)
     state.document = replacement.document
 
 
-def _with_earlier(state: MachineState, route: Route) -> Route:
+def _with_earlier_pools(state: MachineState, route: Route) -> Route:
     former = state.route_by_key.get(route.key)
     if former is None:
         return route
--- a/redwingstream/tables/machine/state.py
+++ b/redwingstream/tables/machine/state.py
@@ -1,4 +1,4 @@
-"""Everything that entries change, and how it is stored."""
+"""The replicated state and its serialization for snapshots."""
 
 from collections import OrderedDict
 from typing import Any
@@ -25,22 +25,22 @@
 )
 from redwingstream.tables.snapshot import Tables
 
-# Answers to operators that are kept for resends.
+# Maximum number of answers to operators that are kept for retries.
 MAX_ANSWERS = 1024
 
 
 @attrs.frozen
 class RememberedAnswer:
-    """The first answer to an operators' request.
+    """First answer to a request of an operator.
 
     Parameters
     ----------
     request_id : str
-        The operator's name for it.
+        Id that the operator's tool chose for the request.
     digest : bytes
-        Of its contents.
+        Digest of the request.
     answer : ChangeAnswer
-        What the operator was told.
+        Answer that the operator was sent.
     """
 
     request_id: str
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class StagedPart:
-    """A part of a replacement that has come."""
+    """Part of a replacement that has arrived."""
 
     part: int
     contents: bytes
@@ -58,14 +58,14 @@
 
 @attrs.frozen
 class StagedReplacement:
-    """The parts of a replacement so far.
+    """Parts of an incomplete replacement.
 
     Parameters
     ----------
     digest : bytes
-        Of the whole.
+        Digest of the whole replacement.
     parts : tuple of StagedPart
-        Those that have come, in the order of their numbers.
+        Parts that have arrived, in the order of their numbers.
     """
 
     digest: bytes
@@ -74,7 +74,7 @@
 
 @attrs.frozen
 class StoredState:
-    """The state as it stands in a snapshot."""
+    """Serialized form of the state in a snapshot."""
 
     config_revision: int
     tables: TablesUpdate
@@ -86,28 +86,28 @@
 
 @attrs.define
 class MachineState:
-    """Everything that entries change.
+    """The state that log entries change.
 
     Parameters
     ----------
     revision : int
         Index of the last entry that changed a row.
     config_revision : int
-        Index of the last accepted operators' change.
+        Index of the last change by operators that was accepted.
     route_by_key, pool_by_name, zone_by_name, member_by_host, view_by_pool
-        The tables.
+        Rows of each table by their keys.
     answer_by_request : OrderedDict
-        Operators' answers by request id, oldest first.
+        Answers to operators by request id, oldest first.
     drained_hosts : set of str
-        Hosts that operators drain, whether they are members now or not.
+        Hosts that operators drain, whether they are currently members or not.
     generation_by_key : dict
-        Which whole configuration is in force, where operators replace it.
+        Version of the whole configuration, where operators replace it.
     document : bytes
-        That configuration as operators wrote it.
+        The whole configuration as operators wrote it.
     staged_by_digest : OrderedDict
-        Replacements of which parts are missing, oldest first.
-    touched : list of RowName
-        Rows that the entry under way has changed.
+        Incomplete replacements, oldest first.
+    changed_rows : list of RowName
+        Rows that the current entry has changed.
     """
 
     revision: int = 0
@@ -126,10 +126,10 @@
     staged_by_digest: OrderedDict[bytes, StagedReplacement] = attrs.field(
         factory=OrderedDict
     )
-    touched: list[RowName] = attrs.field(factory=list)
+    changed_rows: list[RowName] = attrs.field(factory=list)
 
     def rows_of(self, table: Table) -> dict[str, Row]:
-        """Return a table by its name."""
+        """Return the rows of a table by their keys."""
         rows_by_table: dict[Table, dict[str, Any]] = {
             Table.ROUTE: self.route_by_key,
             Table.POOL: self.pool_by_name,
@@ -141,42 +141,42 @@
         return rows_by_table[table]
 
     def put(self, table: Table, key: str, row: Row) -> None:
-        """Set a row, and note the change if it is one."""
+        """Set a row, and record it as changed if it differs."""
         rows = self.rows_of(table)
         if rows.get(key) != row:
             rows[key] = row
-            self.touched.append(RowName(table, key))
+            self.changed_rows.append(RowName(table, key))
 
     def drop(self, table: Table, key: str) -> None:
-        """Remove a row, and note the change if it is one."""
+        """Remove a row, and record it as changed if it existed."""
         if self.rows_of(table).pop(key, None) is not None:
-            self.touched.append(RowName(table, key))
+            self.changed_rows.append(RowName(table, key))
 
     @property
     def generation(self) -> Generation | None:
-        """Which whole configuration is in force; None before the first one."""
+        """Current version of the configuration; None before the first one."""
         return next(iter(self.generation_by_key.values()), None)
 
     def is_zone_out(self, zone: str) -> bool:
-        """Whether operators have taken an availability zone out."""
+        """Whether operators have taken a zone out of service."""
         mark = self.zone_by_name.get(zone)
         return mark is not None and mark.out
 
-    def remember(self, remembered: RememberedAnswer) -> None:
-        """Keep an answer for resends.
+    def record_answer(self, remembered: RememberedAnswer) -> None:
+        """Store an answer for retries of its request.
 
         Notes
         -----
-        The oldest of too many are forgotten.  A resend later than that is
-        judged anew; its ``based_on`` is old by then, so that it gets a
-        conflict and is never applied a second time.
+        The oldest answers beyond ``MAX_ANSWERS`` are evicted.  A later retry
+        is handled as a new request; its ``based_on`` is outdated by then, so
+        that it gets a conflict and is never applied a second time.
         """
         self.answer_by_request[remembered.request_id] = remembered
         while len(self.answer_by_request) > MAX_ANSWERS:
             self.answer_by_request.popitem(last=False)
 
     def tables(self) -> Tables:
-        """Return an unchangeable copy of the tables."""
+        """Return an immutable copy of the tables."""
         return Tables(
             revision=self.revision,
             route_by_key=dict(self.route_by_key),
@@ -189,7 +189,7 @@
 
 
 def pack_state(state: MachineState) -> bytes:
-    """Return the state as bytes for a snapshot."""
+    """Serialize the state for a snapshot."""
     return msgspec.msgpack.encode(
         StoredState(
             state.config_revision,
@@ -203,7 +203,7 @@
 
 
 def unpack_state(packed: bytes) -> MachineState:
-    """Read a state back; no bytes stand for the state before any entry."""
+    """Deserialize a state; empty bytes give the initial state."""
     if not packed:
         return MachineState()
     stored = msgspec.msgpack.decode(packed, type=StoredState)
--- a/redwingstream/tables/machine/machine.py
+++ b/redwingstream/tables/machine/state_machine.py
@@ -1,4 +1,4 @@
-"""Applies entries of the replicated log, one after the other."""
+"""Application of the entries of the replicated log, in order."""
 
 from redwingstream.consensus.messages import Entry
 from redwingstream.tables.edits import (
@@ -6,7 +6,7 @@
     ChangeRequest,
 )
 from redwingstream.tables.machine.changes import apply_change
-from redwingstream.tables.machine.deltas import Deltas
+from redwingstream.tables.machine.recent_changes import RecentChanges
 from redwingstream.tables.machine.members import (
     admit_member,
     leave_member,
@@ -41,22 +41,23 @@
 
 
 class StateMachine:
-    """The replicated state; the same entries make the same state anywhere.
+    """Replicated state; equal entries lead to equal states on all replicas.
 
     Notes
     -----
-    Nothing here depends on time, chance or the order of sets, since replicas
-    that differed would answer differently after a change of leader.
+    Nothing here depends on time, randomness or the iteration order of sets:
+    replicas whose states differ would give different answers after a change of
+    leader.
     """
 
     def __init__(self) -> None:
         self.state = MachineState()
-        self._deltas = Deltas(0)
+        self._recent_changes = RecentChanges(0)
         self._tables = Tables()
 
     @property
     def tables(self) -> Tables:
-        """An unchangeable copy of the tables, made once a revision."""
+        """Immutable copy of the tables, created once per revision."""
         if self._tables.revision != self.state.revision:
             self._tables = self.state.tables()
         return self._tables
@@ -67,34 +68,37 @@
         Parameters
         ----------
         entry : Entry
-            The accepted entry that follows the last one applied.
+            The committed entry that follows the last one applied.
 
         Returns
         -------
         ChangeAnswer, Member or None
-            The answer to an operators' change or to an admission.
+            The answer to a change by operators, the admitted member, or None
+            for all other commands.
         """
         state = self.state
-        state.touched = []
+        state.changed_rows = []
         command = messages.decode(entry.kind, entry.body)
         outcome = self._dispatch(command, entry.index)
-        if state.touched or state.config_revision == entry.index:
+        if state.changed_rows or state.config_revision == entry.index:
             state.revision = entry.index
-            self._deltas.note(entry.index, state.touched)
+            self._recent_changes.record_revision(
+                entry.index, state.changed_rows
+            )
         return outcome
 
     def update_since(self, revision: int) -> TablesUpdate:
-        """Return what changed after a revision, or a full copy."""
-        return self._deltas.since(self.state, revision)
+        """Return the changes after a revision, or a full copy."""
+        return self._recent_changes.update_since(self.state, revision)
 
     def pack(self) -> bytes:
         """Return the state as bytes for a snapshot."""
         return pack_state(self.state)
 
     def load(self, packed: bytes) -> None:
-        """Replace the state by one from a snapshot."""
+        """Replace the state by the one of a snapshot."""
         self.state = unpack_state(packed)
-        self._deltas = Deltas(self.state.revision)
+        self._recent_changes = RecentChanges(self.state.revision)
         self._tables = Tables()
 
     def _dispatch(self, command: object, index: int) -> CommandResult:
--- a/redwingstream/tables/machine/views.py
+++ b/redwingstream/tables/machine/views.py
@@ -1,4 +1,4 @@
-"""The views of pools, as they follow from members, zones and pools."""
+"""Views of pools, computed from the tables of members, zones and pools."""
 
 import attrs
 
@@ -13,29 +13,40 @@
     ViewMember,
 )
 
+# Maximum number of unsettled former views that are kept for a pool.
 MAX_UNSETTLED_VIEWS = 16
 
 
 def recompute_views(state: MachineState, index: int) -> None:
-    """Give each pool whose members differ a new view with this number.
+    """Give each pool whose members have changed a new view.
+
+    Parameters
+    ----------
+    state : MachineState
+        Replicated state, updated in place.
+    index : int
+        Index of the current log entry; the number of new views.
 
     Notes
     -----
-    A removed pool keeps a view without members: were the view dropped, a pool
-    of the same name could later be served without asking those who hold its
-    request records.
+    A removed pool keeps a view without members.  If the view were removed, a
+    later pool of the same name could be served without asking the agents that
+    hold its request records.
     """
     serving_by_pool = _serving_by_pool(state)
     for name in sorted(state.pool_by_name.keys() | state.view_by_pool.keys()):
-        members = tuple(sorted(serving_by_pool.get(name, ()), key=_host_of))
+        members = tuple(sorted(serving_by_pool.get(name, ()), key=_host_name))
         current = state.view_by_pool.get(name)
         if current is None or current.members != members:
-            fresh = PoolView(name, index, members, _unsettled(current))
+            fresh = PoolView(name, index, members, _earlier_views(current))
             state.put(Table.VIEW, name, fresh)
 
 
 def settle_view(state: MachineState, command: SettleView) -> None:
-    """Forget the earlier views once nothing has to be taken over from them."""
+    """Remove the earlier views of a settled view.
+
+    Nothing has to be taken over from them any more.
+    """
     view = state.view_by_pool.get(command.pool)
     if view is None or view.number != command.number:
         return
@@ -43,7 +54,7 @@
 
 
 def exclusion_reason(state: MachineState, member: Member) -> str:
-    """Return why a member is in no view; empty when it is in one."""
+    """Return why a member is in no view; empty if it is in one."""
     if member.role is not Role.AGENT:
         return ''
     pool = state.pool_by_name.get(member.pool)
@@ -60,11 +71,11 @@
 
 
 def unknown_view(number: int) -> EarlierView:
-    """Return an earlier view of which nobody can be asked.
+    """Return an earlier view without members.
 
-    It stands for views that are not known any more.  It has no members, so no
-    pair can answer for it, and a new home treats its buckets as recovering for
-    the longest replay time.
+    It represents views whose members are no longer known.  No agent can be
+    asked for its buckets, so a new home treats them as recovering for the
+    longest time in which a caller may replay a request.
 
     Parameters
     ----------
@@ -88,7 +99,7 @@
     return is_agent and not exclusion_reason(state, member)
 
 
-def _host_of(member: ViewMember) -> str:
+def _host_name(member: ViewMember) -> str:
     return member.host
 
 
@@ -102,7 +113,7 @@
     )
 
 
-def _unsettled(current: PoolView | None) -> tuple[EarlierView, ...]:
+def _earlier_views(current: PoolView | None) -> tuple[EarlierView, ...]:
     if current is None:
         return ()
     if not current.members:
@@ -112,8 +123,9 @@
     chain = (latest, *current.unsettled)
     if len(chain) <= MAX_UNSETTLED_VIEWS:
         return chain
-    # A chain without limit would grow with each flapping member.  What is cut
-    # off cannot be asked any more, and must not be taken for settled either:
-    # a replay of a request recorded there would run a second time.
+    # Without a limit the chain would grow with each member that repeatedly
+    # fails and returns.  The views that are cut off can no longer be asked, but
+    # must not be treated as settled either: a replay of a request recorded
+    # there would run a second time.
     marker = unknown_view(chain[MAX_UNSETTLED_VIEWS - 1].number)
     return (*chain[: MAX_UNSETTLED_VIEWS - 1], marker)
--- a/redwingstream/tables/messages.py
+++ b/redwingstream/tables/messages.py
@@ -1,8 +1,8 @@
-"""How processes fetch tables.
+"""Messages by which processes fetch tables.
 
-What operators send stands in :mod:`redwingstream.tables.edits`: a process that
-only follows the tables does not load it, since each class costs half a
-millisecond at its start.
+Messages of operators are in :mod:`redwingstream.tables.edits`, which followers
+of the tables (balancers and agents) do not import: each message class adds
+half a millisecond to the start of a process.
 """
 
 import enum
@@ -33,7 +33,7 @@
 
 @attrs.frozen
 class RowName:
-    """A row by its table and its key in it."""
+    """Table and key of a row."""
 
     table: Table
     key: str
@@ -41,12 +41,12 @@
 
 @message(kind=16)
 class FetchTables:
-    """Ask any process for what is newer than a revision.
+    """Ask a process for the changes after a revision.
 
     Parameters
     ----------
     since : int
-        Revision that the asking process has; 0 for none.
+        Revision of the sender's tables; 0 if it has none.
     """
 
     since: int
@@ -54,18 +54,18 @@
 
 @message(kind=17)
 class TablesUpdate:
-    """What changed after a revision.
+    """Changes between two revisions, or a full copy of the tables.
 
     Parameters
     ----------
     since : int
-        Revision that the changes start from; 0 for a full copy.
+        Revision to which the changes apply; 0 for a full copy.
     revision : int
-        Revision that they lead to.
+        Revision after the changes.
     routes, pools, zones, members, views, generations
         Rows that are new or changed.
     removed : tuple of RowName
-        Rows that are gone; empty in a full copy.
+        Names of the rows that were removed; empty in a full copy.
     """
 
     since: int
--- a/redwingstream/tables/routing.py
+++ b/redwingstream/tables/routing.py
@@ -1,4 +1,4 @@
-"""Which pool a caller's traffic belongs to."""
+"""Lookup of the route for a caller and a service."""
 
 import functools
 import ipaddress
@@ -9,72 +9,75 @@
 from redwingstream.endpoints import Endpoint
 from redwingstream.tables.rows import ANY_CALLER, Route
 
-_CACHED_LOOKUPS = 4096
-_CACHED_NETWORKS = 4096
+_MAX_CACHED_LOOKUPS = 4096
+_MAX_CACHED_NETWORKS = 4096
 
 _Network = ipaddress.IPv4Network | ipaddress.IPv6Network
 
 
 @attrs.frozen
-class _Choice:
+class _Candidate:
     network: _Network
     route: Route
 
 
 class Routing:
-    """Looks up routes of one route table.
+    """Lookup in one route table.
 
     Parameters
     ----------
     route_by_key : mapping
-        The route table; the object is made anew when the table changes.
+        The route table.  A new object is created whenever the table changes.
 
     Notes
     -----
-    Of several routes of a service the one with the longest network that holds
-    the caller wins, as in any routing table.
+    Among the routes of a service, the one with the longest prefix that contains
+    the caller applies, as in any routing table.
 
-    Most services have one route for any caller; it is found without a look at
-    the caller.  A cache by caller does not help there: the fabric sprays, so a
-    balancer meets more callers than any cache holds.
+    Most services have a single route for all callers, which is found without
+    evaluating the caller's address.  A cache by caller does not help there: the
+    fabric spreads packets over all balancers, so that each of them sees more
+    callers than a cache can hold.
     """
 
     def __init__(self, route_by_key: Mapping[str, Route]) -> None:
-        self._choices_by_service: dict[str, list[_Choice]] = {}
-        choices = [
-            _Choice(_network_of(route.callers), route)
+        self._candidates_by_service: dict[str, list[_Candidate]] = {}
+        candidates = [
+            _Candidate(_network_of(route.callers), route)
             for route in route_by_key.values()
         ]
-        for choice in sorted(choices, key=_prefix_length, reverse=True):
-            service = choice.route.service
-            self._choices_by_service.setdefault(service, []).append(choice)
-        self._only_by_service = {
+        for candidate in sorted(candidates, key=_prefix_length, reverse=True):
+            service = candidate.route.service
+            self._candidates_by_service.setdefault(service, []).append(
+                candidate
+            )
+        self._default_by_service = {
             service: of_service[0].route
-            for service, of_service in self._choices_by_service.items()
+            for service, of_service in self._candidates_by_service.items()
             if of_service[0].route.callers == ANY_CALLER
         }
-        cached = functools.lru_cache(maxsize=_CACHED_LOOKUPS)
+        cached = functools.lru_cache(maxsize=_MAX_CACHED_LOOKUPS)
         self._find_by_host = cached(self._find)
 
     def find(self, service: str, caller: Endpoint) -> Route | None:
-        """Return the route of a caller's traffic to a service, if any."""
-        only = self._only_by_service.get(service)
-        if only is not None and ':' not in caller.host:
-            return only
+        """Return the route of a caller's traffic to a service, or None."""
+        default = self._default_by_service.get(service)
+        if default is not None and ':' not in caller.host:
+            return default
         return self._find_by_host(service, caller.host)
 
     def _find(self, service: str, host: str) -> Route | None:
         address = ipaddress.ip_address(host)
-        for choice in self._choices_by_service.get(service, ()):
-            if address in choice.network:
-                return choice.route
+        for candidate in self._candidates_by_service.get(service, ()):
+            if address in candidate.network:
+                return candidate.route
         return None
 
 
-@functools.lru_cache(maxsize=_CACHED_NETWORKS)
+@functools.lru_cache(maxsize=_MAX_CACHED_NETWORKS)
 def _network_of(callers: str) -> _Network:
     return ipaddress.ip_network(callers)
 
 
-def _prefix_length(choice: _Choice) -> int:
-    return choice.network.prefixlen
+def _prefix_length(candidate: _Candidate) -> int:
+    return candidate.network.prefixlen
--- a/redwingstream/tables/rows.py
+++ b/redwingstream/tables/rows.py
@@ -1,8 +1,8 @@
-"""Rows of the tables and how they are named.
+"""Rows of the replicated tables.
 
-Route and pool tables are linked by the pool's name only.  Members and views are
-kept beside them in the same replicated state, so that one revision number says
-what a process knows of all of them.
+A route refers to a pool by the pool's name only.  Members and views are part of
+the same replicated state as routes and pools, so that one revision number
+identifies the contents of all tables.
 """
 
 import enum
@@ -15,18 +15,18 @@
 MAX_BUCKETS = 4096
 DEFAULT_WEIGHT = 100
 MAX_WEIGHT = 10000
-# Characters of a name or an address in a row.
+# Maximum number of characters of a name or an address in a row.
 MAX_NAME_LENGTH = 255
 
 
 def is_bucket_count(count: int) -> bool:
-    """Whether a pool may have so many buckets: a power of two, bounded."""
+    """Whether a count is a power of two from 1 to ``MAX_BUCKETS``."""
     is_power = count & (count - 1) == 0
     return is_power and 0 < count <= MAX_BUCKETS
 
 
 class Role(enum.StrEnum):
-    """What a process of the system does."""
+    """Role of a member."""
 
     AGENT = 'agent'
     BALANCER = 'balancer'
@@ -34,14 +34,14 @@
 
 @attrs.frozen
 class PoolShare:
-    """A part of a route's new flows.
+    """Share of one pool in the new flows of a route.
 
     Parameters
     ----------
     pool : str
         Name of the pool.
     weight : int
-        Its share relative to the other pools of the route.
+        Share of the pool, relative to the other pools of the route.
     """
 
     pool: str
@@ -49,26 +49,26 @@
 
 
 MAX_EARLIER_POOLS = 4
-"""Former pools of a route that are kept.  Flows live for a minute at most, and
-more than four changes of one route's pool within a minute are no use to
-anybody."""
+"""Maximum number of former pools kept in a route.  Flows last for at most a
+minute, and changing the pool of a route more than four times within a minute
+serves no purpose."""
 
 
 @attrs.frozen
 class FlowRules:
-    """What a route says of its flows besides the pool.
+    """Rules of a route for its flows, besides the pool.
 
     Parameters
     ----------
     shares : tuple of PoolShare
-        How new flows are divided where several pools serve the route; empty
-        when one serves it alone.
+        Division of new flows among several pools; empty when a single pool
+        serves the route.
     earlier : tuple of str
-        Pools that served the route before, newest first.  Flows that were
-        established under them stay where they are.
+        Names of the pools that served the route before, newest first.  Flows
+        that were established in them stay there.
     timeout : float
-        Seconds after which a caller gives a request up; 0 where operators
-        state none.
+        Seconds after which a caller gives up a request; 0 if operators do
+        not configure it.
     """
 
     shares: tuple[PoolShare, ...] = ()
@@ -81,7 +81,7 @@
 
 @attrs.frozen
 class Route:
-    """Which pool the traffic to a service address belongs to.
+    """Assignment of the traffic to a service address to a pool.
 
     Parameters
     ----------
@@ -90,11 +90,11 @@
     pool : str
         Name of the pool.
     callers : str
-        Network of callers in CIDR form; the longest one that holds a caller
-        wins.
+        Network of callers in CIDR form; among the routes of a service whose
+        networks contain a caller, the one with the longest prefix applies.
     flows : FlowRules or None
-        What else is said of its flows; None for nothing, so that a row without
-        it stays small.
+        Further rules for its flows; None for the defaults, which keeps the
+        encoded row small.
     """
 
     service: str
@@ -104,32 +104,34 @@
 
     @property
     def rules(self) -> FlowRules:
-        """What is said of its flows."""
+        """Rules for its flows; the defaults if the row has none."""
         return self.flows or PLAIN_FLOWS
 
     @property
     def pools(self) -> tuple[str, ...]:
-        """Names of the pools that serve new flows."""
+        """Names of the pools that get new flows."""
         if not self.rules.shares:
             return (self.pool,)
         return tuple(share.pool for share in self.rules.shares)
 
     @property
     def key(self) -> str:
-        """Name of the row in its table."""
+        """Key of the row in its table."""
         return f'{self.service}|{self.callers}'
 
 
 @attrs.frozen
 class ServerLimits:
-    """What a server of a pool bears.
+    """Limits of each backend server of a pool.
 
     Parameters
     ----------
     cold_rate : float
-        New flows a second after a cold start; 0 where operators state none.
+        New flows per second that a cold server (one that has just started)
+        can handle; 0 if operators do not configure it.
     max_flows : int
-        Flows at once; 0 where operators state none.
+        Maximum number of concurrent flows; 0 if operators do not configure
+        it.
     """
 
     cold_rate: float = 0
@@ -138,20 +140,21 @@
 
 @attrs.frozen
 class Pool:
-    """Which backend servers may serve a service.
+    """Group of backend servers that serve the same routes.
 
     Parameters
     ----------
     name : str
-        What routes call it.
+        Name by which routes refer to it.
     admits : tuple of str
         Shell-style patterns of host names; a host that announces itself for
-        this pool is admitted when one of them fits.
+        this pool is admitted if one of them matches.
     buckets : int
-        Into how many parts its flows are divided; a power of two, fixed for
-        the life of the pool.
+        Number of buckets (fixed parts of the pool's flows, by a keyed hash of
+        caller and service); a power of two that never changes during the life
+        of the pool.
     limits : ServerLimits or None
-        What a server of it bears; None where operators state nothing.
+        Limits of each of its servers; None if operators configure none.
     """
 
     name: str
@@ -161,11 +164,11 @@
 
     @property
     def key(self) -> str:
-        """Name of the row in its table."""
+        """Key of the row in its table."""
         return self.name
 
     def admits_host(self, host: str) -> bool:
-        """Whether a host of this name may serve the pool."""
+        """Whether the pool admits a host of this name."""
         return any(fnmatch.fnmatchcase(host, glob) for glob in self.admits)
 
 
@@ -178,7 +181,7 @@
     zone : str
         Name of the availability zone.
     out : bool
-        True while operators have taken it out.
+        True while operators have taken the zone out of service.
     """
 
     zone: str
@@ -186,35 +189,36 @@
 
     @property
     def key(self) -> str:
-        """Name of the row in its table."""
+        """Key of the row in its table."""
         return self.zone
 
 
 @attrs.frozen
 class Member:
-    """A process that announced itself and was admitted.
+    """Process that announced itself and was admitted.
 
     Parameters
     ----------
     host : str
-        Name of the host or instance it runs on.
+        Name of the host or instance that it runs on.
     role : Role
-        What it does.
+        Role of the process.
     incarnation : int
-        Revision at which this run of it was admitted; a later run always has
-        a higher one.
+        Revision at which this run of the process was admitted; a later run
+        always has a higher one.
     boot : int
-        Random number of the run, from its frames.
+        Random number of the run, as in the frames that it sends.
     endpoint : str
         ``IP:PORT`` for frames (UDP) and calls (TCP).
     zone : str
-        Its availability zone.
+        Availability zone of the process.
     pool : str
         Pool that its backend server serves; empty for a balancer.
     weight : int
-        Share of the buckets relative to other members of the pool.
+        Share of the buckets, relative to other members of the pool.
     draining : bool
-        True once it was asked to leave.
+        True once it has been told to drain, by operators or by a request to
+        stop.
     """
 
     host: str
@@ -229,26 +233,26 @@
 
     @property
     def key(self) -> str:
-        """Name of the row in its table."""
+        """Key of the row in its table."""
         return self.host
 
 
 @attrs.frozen
 class ViewMember:
-    """A member as far as the placement of buckets needs it.
+    """The part of a member that the placement of buckets needs.
 
     Parameters
     ----------
     host : str
         Name of the host.
     incarnation : int
-        Which run of the agent.
+        Incarnation (admitted run) of the agent.
     endpoint : str
         ``IP:PORT`` of the agent.
     zone : str
-        Its availability zone.
+        Availability zone of the agent.
     weight : int
-        Its share relative to others.
+        Share of the buckets, relative to other members of the pool.
     """
 
     host: str
@@ -260,15 +264,15 @@
 
 @attrs.frozen
 class EarlierView:
-    """A former view whose buckets may not all have been taken over yet.
+    """Former view from which some buckets may not have been taken over yet.
 
     Parameters
     ----------
     number : int
-        Its number.
+        Number of the view.
     members : tuple of ViewMember
-        Who was in it; empty when that is not known any more, so that nobody can
-        be asked.
+        Agents of the view; empty if they are no longer known, so that no
+        agent can be asked for its buckets.
     """
 
     number: int
@@ -277,19 +281,22 @@
 
 @attrs.frozen
 class PoolView:
-    """Who serves a pool, agreed on by the control instances.
+    """Agents that serve a pool, as agreed by the control instances.
 
     Parameters
     ----------
     pool : str
         Name of the pool.
     number : int
-        Revision at which it was committed; later views have higher numbers.
+        Revision at which the view was committed; later views have higher
+        numbers.
     members : tuple of ViewMember
-        Agents that may be home or heir of a bucket, by host name.
+        Agents that can be the home (owner) or the heir (replica) of a bucket,
+        sorted by host name.
     unsettled : tuple of EarlierView
         Former views, newest first, from which some bucket of this view may
-        still have to be taken over.  A new home must hear from each of them.
+        still have to be taken over.  A new home must get an answer from each
+        of them.
     """
 
     pool: str
@@ -299,20 +306,20 @@
 
     @property
     def key(self) -> str:
-        """Name of the row in its table."""
+        """Key of the row in its table."""
         return self.pool
 
 
 @attrs.frozen
 class Generation:
-    """Which configuration is in force, where operators replace it whole.
+    """Version of the configuration, where operators replace it as a whole.
 
     Parameters
     ----------
     version : int
-        The operators' number for it; the highest one wins.
+        Version number that operators assign; the highest one applies.
     idle_timeout : float
-        Seconds after which a flow without packets may be forgotten.
+        Seconds without packets after which a flow may be removed.
     """
 
     version: int
@@ -320,7 +327,7 @@
 
     @property
     def key(self) -> str:
-        """Name of the only row in its table."""
+        """Key of the only row in its table."""
         return 'generation'
 
 
--- a/redwingstream/tables/snapshot.py
+++ b/redwingstream/tables/snapshot.py
@@ -1,4 +1,4 @@
-"""An unchangeable copy of all tables at one revision."""
+"""Immutable copy of all tables at one revision."""
 
 from collections.abc import Iterable, Mapping
 from typing import TypeVar
@@ -25,14 +25,14 @@
     Parameters
     ----------
     revision : int
-        Index of the last accepted entry that is contained.
+        Index of the last log entry whose changes the tables contain.
     route_by_key, pool_by_name, zone_by_name, member_by_host, view_by_pool,
     generation_by_key
-        The tables, each named by its key.
+        Rows of each table by their keys.
 
     See Also
     --------
-    redwingstream.tables.messages.TablesUpdate : how a newer copy travels.
+    redwingstream.tables.messages.TablesUpdate : message with a newer copy.
     """
 
     revision: int = 0
@@ -49,19 +49,20 @@
         Parameters
         ----------
         update : TablesUpdate
-            A full copy, or the changes since a revision that this copy has
-            reached.
+            A full copy, or the changes since the revision of this copy or an
+            earlier one.
 
         Returns
         -------
         Tables
-            The newer copy; this one when the update is not newer or leaves a
-            gap.
+            The newer copy; this object if the update is not newer or starts
+            from a later revision.
 
         Notes
         -----
-        An older copy never replaces a newer one: updates reach a process in
-        any order, and a late one must not bring a zone taken out back in.
+        An older copy never replaces a newer one: updates arrive in any order,
+        and a delayed one must not put a zone back into service that operators
+        have taken out since.
         """
         if update.revision <= self.revision or update.since > self.revision:
             return self
@@ -70,16 +71,16 @@
 
     @property
     def generation(self) -> Generation | None:
-        """Which whole configuration is in force; None before the first one."""
+        """Current version of the configuration; None before the first one."""
         return next(iter(self.generation_by_key.values()), None)
 
     def is_zone_out(self, zone: str) -> bool:
-        """Whether operators have taken an availability zone out."""
+        """Whether operators have taken a zone out of service."""
         mark = self.zone_by_name.get(zone)
         return mark is not None and mark.out
 
     def as_update(self) -> TablesUpdate:
-        """Return a full copy that can travel."""
+        """Return a full copy as a message."""
         return TablesUpdate(
             since=0,
             revision=self.revision,
@@ -92,38 +93,42 @@
         )
 
     def _merged(self, update: TablesUpdate) -> 'Tables':
-        gone_by_table: dict[Table, set[str]] = {table: set() for table in Table}
+        removed_by_table: dict[Table, set[str]] = {
+            table: set() for table in Table
+        }
         for name in update.removed:
-            gone_by_table[name.table].add(name.key)
+            removed_by_table[name.table].add(name.key)
         return Tables(
             revision=update.revision,
-            route_by_key=_overlay(
-                self.route_by_key, gone_by_table[Table.ROUTE], update.routes
+            route_by_key=_merge_rows(
+                self.route_by_key, removed_by_table[Table.ROUTE], update.routes
             ),
-            pool_by_name=_overlay(
-                self.pool_by_name, gone_by_table[Table.POOL], update.pools
+            pool_by_name=_merge_rows(
+                self.pool_by_name, removed_by_table[Table.POOL], update.pools
             ),
-            zone_by_name=_overlay(
-                self.zone_by_name, gone_by_table[Table.ZONE], update.zones
+            zone_by_name=_merge_rows(
+                self.zone_by_name, removed_by_table[Table.ZONE], update.zones
             ),
-            member_by_host=_overlay(
-                self.member_by_host, gone_by_table[Table.MEMBER], update.members
+            member_by_host=_merge_rows(
+                self.member_by_host,
+                removed_by_table[Table.MEMBER],
+                update.members,
             ),
-            view_by_pool=_overlay(
-                self.view_by_pool, gone_by_table[Table.VIEW], update.views
+            view_by_pool=_merge_rows(
+                self.view_by_pool, removed_by_table[Table.VIEW], update.views
             ),
-            generation_by_key=_overlay(
+            generation_by_key=_merge_rows(
                 self.generation_by_key,
-                gone_by_table[Table.GENERATION],
+                removed_by_table[Table.GENERATION],
                 update.generations,
             ),
         )
 
 
-def _overlay(
-    base: Mapping[str, RowT], gone: set[str], rows: Iterable[RowT]
+def _merge_rows(
+    base: Mapping[str, RowT], removed: set[str], rows: Iterable[RowT]
 ) -> Mapping[str, RowT]:
-    merged = {key: row for key, row in base.items() if key not in gone}
+    merged = {key: row for key, row in base.items() if key not in removed}
     for row in rows:
         merged[row.key] = row
     return merged
--- a/redwingstream/tables/tests/test_machine.py
+++ b/redwingstream/tables/tests/test_machine.py
@@ -1,4 +1,4 @@
-"""Operators' changes, members and views in the replicated state."""
+"""Changes by operators, members and views in the replicated state."""
 
 import time
 
@@ -20,8 +20,8 @@
     SetZone,
 )
 from redwingstream.tables.history import TablesHistory
-from redwingstream.tables.machine.deltas import Deltas
-from redwingstream.tables.machine.machine import StateMachine
+from redwingstream.tables.machine.recent_changes import RecentChanges
+from redwingstream.tables.machine.state_machine import StateMachine
 from redwingstream.tables.machine.messages import (
     AdmitMember,
     LeaveMember,
@@ -53,12 +53,12 @@
 ROUTE = SetRoute(Route(SERVICE, 'sward-live'))
 ZONE_OUT = SetZone(ZoneMark('carse', out=True))
 MANY_ROWS = 20000
-LONGEST_STOP = 1.0
-"""Seconds that the answer may take, on a busy machine too."""
+MAX_ANSWER_SECONDS = 1.0
+"""Maximum seconds to make the answer, with reserve for a busy computer."""
 
 
 class Bench:
-    """A state machine that is fed one command after the other."""
+    """State machine to which a test applies one command after the other."""
 
     def __init__(self) -> None:
         self.machine = StateMachine()
@@ -66,14 +66,14 @@
         self.requests = 0
 
     def apply(self, command: object) -> object:
-        """Apply a command as the next entry, through its codec."""
+        """Encode a command and apply it as the next entry."""
         self.index += 1
         return self.machine.apply(
             Entry(self.index, 1, *messages.encode(command))
         )
 
     def change(self, edits: Edits, *, force: bool = False) -> ChangeAnswer:
-        """Make a change based on the current revision."""
+        """Apply a change based on the current revision."""
         self.requests += 1
         based_on = self.machine.state.config_revision
         name = f'r{self.requests}'
@@ -98,32 +98,34 @@
         return self.machine.tables.view_by_pool['sward-live']
 
     def hosts(self) -> list[str]:
-        """Hosts in the newest view."""
+        """Return the hosts of the newest view."""
         return [member.host for member in self.view().members]
 
-    def chain(self) -> list[int]:
-        """Numbers of the unsettled views."""
+    def unsettled_numbers(self) -> list[int]:
+        """Return the numbers of the unsettled views."""
         return [earlier.number for earlier in self.view().unsettled]
 
 
 @pytest.fixture
 def bench() -> Bench:
-    """A machine with a pool in use and two agents."""
-    made = Bench()
-    made.change(Edits(set_pools=(POOL,), set_routes=(ROUTE,)))
-    made.admit('sward-1')
-    made.admit('sward-2', zone='angus-glens')
-    return made
+    """A state machine with a pool in use and two agents."""
+    created = Bench()
+    created.change(Edits(set_pools=(POOL,), set_routes=(ROUTE,)))
+    created.admit('sward-1')
+    created.admit('sward-2', zone='angus-glens')
+    return created
 
 
 class TestChanges:
-    """Operators race each other and send again."""
+    """Concurrent changes by operators, and retries of changes."""
 
-    def test_one_of_two_with_equal_revisions_wins(self, bench: Bench) -> None:
-        """One operator's change would silently undo another's.
+    def test_second_change_based_on_the_same_revision_conflicts(
+        self, bench: Bench
+    ) -> None:
+        """A change by one operator must not silently undo another's.
 
-        Two operators look at the same revision and send different changes.
-        The second one has never seen what the first one did.
+        Two operators read the same revision and send different changes; the
+        second operator has not seen the effect of the first change.
         """
         first = ChangeRequest('first', 1, Edits(set_zones=(ZONE_OUT,)))
         second = ChangeRequest('second', 1, Edits(set_pools=(POOL,)))
@@ -134,12 +136,12 @@
         assert refused.revision == accepted.revision
         assert str(accepted.revision) in refused.text
 
-    def test_a_resend_gets_the_first_answer(self, bench: Bench) -> None:
-        """An operator would be told of a conflict with his own change.
+    def test_retry_gets_the_first_answer(self, bench: Bench) -> None:
+        """A retry must not be reported as a conflict with its own change.
 
-        The answer to an accepted change is lost; meanwhile another change
-        is accepted and the replica restarts from a snapshot.  The operator's
-        tool sends the same request again.
+        The answer to an accepted change is lost; another change is accepted
+        and the replica restarts from a snapshot.  Then the operator's tool
+        sends the same request again.
         """
         request = ChangeRequest('first', 1, Edits(set_zones=(ZONE_OUT,)))
         answer = bench.apply(request)
@@ -151,20 +153,20 @@
         assert restarted.apply(request) == answer
         assert restarted.machine.pack() == before
 
-    def test_another_change_under_a_used_id_is_refused(
+    def test_another_change_with_a_used_request_id_is_refused(
         self, bench: Bench
     ) -> None:
         bench.apply(ChangeRequest('r', 1, Edits(set_zones=(ZONE_OUT,))))
         answer = bench.apply(ChangeRequest('r', 1, Edits()))
         assert answer.code == ResultCode.REQUEST_ID_REUSED
 
-    def test_a_resend_after_it_was_forgotten_changes_nothing(
+    def test_retry_after_eviction_of_the_answer_changes_nothing(
         self, bench: Bench
     ) -> None:
-        """A change made long ago would be made once more.
+        """An old change must not be applied a second time.
 
-        More requests than are remembered follow an accepted change, then a
-        resend of it arrives that the network held back.
+        An accepted change is followed by so many requests that its answer is
+        evicted; then a delayed copy of it arrives.
         """
         request = ChangeRequest('old', 1, Edits(set_zones=(ZONE_OUT,)))
         bench.apply(request)
@@ -176,7 +178,7 @@
         assert not bench.machine.tables.is_zone_out('carse')
 
     @pytest.mark.parametrize(
-        ('edits', 'met'),
+        ('edits', 'expected_text'),
         [
             (Edits(set_routes=(SetRoute(Route('x:1', 'sward-live')),)), 'x:1'),
             (
@@ -203,16 +205,16 @@
             (Edits(remove=(RemoveRow(RowName(Table.VIEW, 'v')),)), 'view'),
         ],
     )
-    def test_a_bad_row_is_refused_even_by_force(
-        self, bench: Bench, edits: Edits, met: str
+    def test_bad_row_is_refused_even_if_forced(
+        self, bench: Bench, edits: Edits, expected_text: str
     ) -> None:
         before = bench.machine.tables
         answer = bench.change(edits, force=True)
         assert answer.code == ResultCode.BAD_ROW
-        assert met in answer.text
+        assert expected_text in answer.text
         assert bench.machine.tables == before
 
-    def test_an_unknown_row_is_named(self, bench: Bench) -> None:
+    def test_refusal_names_the_unknown_row(self, bench: Bench) -> None:
         for edits in (
             Edits(remove=(RemoveRow(RowName(Table.ROUTE, 'nowhere')),)),
             Edits(drain=(DrainMember('nowhere', draining=True),)),
@@ -222,7 +224,7 @@
             assert 'nowhere' in answer.text
 
     @pytest.mark.parametrize(
-        ('service', 'callers', 'usual'),
+        ('service', 'callers', 'expected_text'),
         [
             (SERVICE, '10.1.0.0/255.255.0.0', '10.1.0.0/16'),
             ('10.0.0.1:05683', '10.1.0.0/16', SERVICE),
@@ -231,22 +233,22 @@
             ('10.0.0.1:0', '0.0.0.0/0', 'port'),
         ],
     )
-    def test_a_route_that_no_packet_meets_is_refused(
-        self, bench: Bench, service: str, callers: str, usual: str
+    def test_route_that_matches_no_packet_is_refused(
+        self, bench: Bench, service: str, callers: str, expected_text: str
     ) -> None:
-        """Two balancers send one adviser's requests to different services.
+        """Two balancers must not route the same caller to different pools.
 
-        A network is written in two forms, so that two routes with two pools
-        hold the same callers; which one counts depends on the order in which
-        a process got them.  A service in an unusual form, without a port or
-        of another IP version than its callers is accepted and never met.
+        If a network could be written in two forms, two routes to two pools
+        could have the same callers, and the order in which a process received
+        them would decide.  A service that is not in canonical form, has no port
+        or has another IP version than its callers would match no packet.
         """
         route = SetRoute(Route(service, 'sward-live', callers))
         answer = bench.change(Edits(set_routes=(route,)), force=True)
         assert answer.code == ResultCode.BAD_ROW
-        assert usual in answer.text
+        assert expected_text in answer.text
 
-    def test_a_missing_pool_takes_force(self, bench: Bench) -> None:
+    def test_route_to_a_missing_pool_needs_force(self, bench: Bench) -> None:
         route = SetRoute(Route('10.0.0.2:1', 'later'))
         refused = bench.change(Edits(set_routes=(route,)))
         forced = bench.change(Edits(set_routes=(route,)), force=True)
@@ -272,7 +274,7 @@
             ),
         ],
     )
-    def test_emptying_a_pool_in_use_takes_force(
+    def test_emptying_a_pool_in_use_needs_force(
         self, bench: Bench, edits: Edits
     ) -> None:
         refused = bench.change(edits)
@@ -283,14 +285,14 @@
         assert "'sward-live'" in forced.warnings[0]
         assert bench.hosts() == []
 
-    def test_removing_a_pool_in_use_takes_force(self, bench: Bench) -> None:
+    def test_removing_a_pool_in_use_needs_force(self, bench: Bench) -> None:
         edits = Edits(remove=(RemoveRow(RowName(Table.POOL, 'sward-live')),))
         assert bench.change(edits).code == ResultCode.MISSING_POOL
         assert len(bench.change(edits, force=True).warnings) == 2
 
 
 class TestMembers:
-    """Runs of processes and the views that follow."""
+    """Runs of processes, and the views computed from them."""
 
     def test_the_same_run_keeps_its_incarnation(self, bench: Bench) -> None:
         first = bench.member('sward-1')
@@ -298,52 +300,58 @@
         assert bench.admit('sward-1') == first
         assert bench.machine.tables.revision == revision
 
-    def test_another_run_gets_a_higher_one(self, bench: Bench) -> None:
+    def test_another_run_gets_a_higher_incarnation(self, bench: Bench) -> None:
         first = bench.member('sward-1')
         second = bench.admit('sward-1', boot=2)
         assert second.incarnation > first.incarnation
         bench.apply(RemoveMember('sward-1', first.incarnation))
         assert 'sward-1' in bench.machine.tables.member_by_host
 
-    def test_a_host_not_admitted_is_kept_out(self, bench: Bench) -> None:
+    def test_host_that_the_pool_does_not_admit_is_in_no_view(
+        self, bench: Bench
+    ) -> None:
         member = bench.admit('cover-1')
         assert 'cover-1' not in bench.hosts()
         assert 'sward-*' in exclusion_reason(bench.machine.state, member)
 
-    def test_a_draining_member_leaves_views_only(self, bench: Bench) -> None:
+    def test_draining_member_leaves_the_view_and_stays_a_member(
+        self, bench: Bench
+    ) -> None:
         member = bench.member('sward-1')
         bench.apply(LeaveMember('sward-1', member.incarnation))
         assert bench.hosts() == ['sward-2']
         assert bench.member('sward-1').draining
 
-    def test_a_zone_out_leaves_views(self, bench: Bench) -> None:
+    def test_members_of_a_zone_out_of_service_leave_the_view(
+        self, bench: Bench
+    ) -> None:
         bench.change(Edits(set_zones=(ZONE_OUT,)))
         assert bench.hosts() == ['sward-2']
 
-    def test_settling_takes_the_newest_view(self, bench: Bench) -> None:
-        """A bucket would be served without asking who holds its records.
+    def test_only_the_newest_view_is_settled(self, bench: Bench) -> None:
+        """A bucket must not be served without asking for its records.
 
-        A view is reported settled while the next one is being committed; the
-        chain of the newer view must stay.
+        A view is reported as settled while the next one is being committed;
+        the unsettled views of the newer one must stay.
         """
         number = bench.view().number
         bench.admit('sward-3')
         bench.apply(SettleView('sward-live', number))
-        assert bench.chain()[0] == number
+        assert bench.unsettled_numbers()[0] == number
         newest = bench.view().number
         bench.apply(SettleView('sward-live', newest))
-        assert bench.chain() == []
+        assert bench.unsettled_numbers() == []
         view = bench.view()
         assert view.number == newest
 
-    def test_a_long_chain_ends_in_a_view_nobody_answers_for(
+    def test_long_chain_ends_in_a_view_without_members(
         self, bench: Bench
     ) -> None:
-        """A bay would be reserved twice.
+        """A request must not run a second time.
 
-        A host flaps, and views change faster than they settle.  Were the
-        oldest earlier view dropped, a new home would take a replay of a
-        request recorded under it for a new one.
+        A host repeatedly fails and returns, and views change faster than they
+        settle.  If the oldest unsettled view were dropped, a new home would
+        treat a replay of a request recorded in that view as a new request.
         """
         for boot in range(2, 2 * MAX_UNSETTLED_VIEWS):
             bench.admit('sward-1', boot=boot)
@@ -356,18 +364,18 @@
         assert all(earlier.members for earlier in view.unsettled[:-1])
 
 
-class TestDrainMarks:
-    """What operators decided about a host outlives its runs."""
+class TestDrainedHosts:
+    """Draining of a host by operators applies to all its runs."""
 
     @pytest.mark.parametrize('is_removed', [False, True])
     def test_a_new_run_of_a_drained_host_drains(
         self, bench: Bench, is_removed: bool
     ) -> None:
-        """A server under repair gets feeds and bookings again.
+        """A server under repair must not get traffic again.
 
-        Operators drain a host.  Its agent restarts, or is silent for a lease
-        and is removed; then it announces itself.  The mark stood in the row
-        of the former run only, so the accepted change was undone.
+        Operators drain a host.  Its agent restarts, or its lease expires and it
+        is removed; then it announces itself again.  If draining were stored
+        only in the row of the former run, the accepted change would be undone.
         """
         mark = DrainMember('sward-1', draining=True)
         bench.change(Edits(drain=(mark,)))
@@ -379,19 +387,19 @@
         assert bench.member('sward-1').draining
         assert bench.hosts() == ['sward-2']
 
-    def test_a_mark_can_be_taken_back_while_its_host_is_away(
+    def test_draining_can_be_cancelled_while_the_host_is_away(
         self, bench: Bench
     ) -> None:
         bench.change(Edits(drain=(DrainMember('sward-1', draining=True),)))
         incarnation = bench.member('sward-1').incarnation
         bench.apply(RemoveMember('sward-1', incarnation))
-        taken_back = DrainMember('sward-1', draining=False)
-        answer = bench.change(Edits(drain=(taken_back,)))
+        cancelled = DrainMember('sward-1', draining=False)
+        answer = bench.change(Edits(drain=(cancelled,)))
         assert answer.code == ResultCode.OK
         bench.admit('sward-1', boot=2)
         assert bench.hosts() == ['sward-1', 'sward-2']
 
-    def test_a_refused_change_leaves_no_mark(self, bench: Bench) -> None:
+    def test_refused_change_drains_no_host(self, bench: Bench) -> None:
         marks = tuple(
             DrainMember(host, draining=True) for host in bench.hosts()
         )
@@ -400,7 +408,7 @@
         bench.admit('sward-1', boot=2)
         assert not bench.member('sward-1').draining
 
-    def test_a_run_that_left_by_itself_leaves_no_mark(
+    def test_run_that_left_by_itself_does_not_drain_the_next_one(
         self, bench: Bench
     ) -> None:
         incarnation = bench.member('sward-1').incarnation
@@ -409,10 +417,10 @@
         assert not bench.member('sward-1').draining
 
 
-class TestDeltas:
-    """What a process gets that asks for news."""
+class TestRecentChanges:
+    """Answers to processes that ask for changes."""
 
-    def test_deltas_lead_to_the_same_tables(self, bench: Bench) -> None:
+    def test_changes_lead_to_the_same_tables(self, bench: Bench) -> None:
         copy = Tables().updated(bench.machine.update_since(0))
         bench.change(Edits(set_zones=(ZONE_OUT,)))
         bench.admit('sward-3')
@@ -423,11 +431,13 @@
         assert not update.pools
         assert copy.updated(update) == bench.machine.tables
 
-    def test_too_old_a_revision_gets_a_full_copy(self, bench: Bench) -> None:
-        """A node that was away for long would keep a gap.
+    def test_revision_that_is_too_old_gets_a_full_copy(
+        self, bench: Bench
+    ) -> None:
+        """A process that was away for long must not miss changes.
 
-        The replica restarts from a snapshot and does not know any more what
-        changed before it; the node asks from a revision below.
+        The replica restarts from a snapshot and no longer knows the changes
+        before it; the process asks for changes after an earlier revision.
         """
         copy = Tables().updated(bench.machine.update_since(0))
         bench.change(Edits(set_zones=(ZONE_OUT,)))
@@ -436,11 +446,14 @@
         assert update.since == 0
         assert copy.updated(update) == bench.machine.tables
 
-    def test_a_process_that_is_ahead_gets_no_rows(self, bench: Bench) -> None:
-        """Waiting for a change to be in force fills the links to control.
+    def test_process_with_a_newer_revision_gets_no_rows(
+        self, bench: Bench
+    ) -> None:
+        """Waiting for a change to take effect must not overload the network.
 
-        The tool asks every process with the new revision, again and again;
-        each one that had not got there sent all of its tables.
+        The operators' tool polls every process with the new revision.  If a
+        process that has not reached it answered with a full copy, every poll
+        would transfer all tables.
         """
         bench.change(Edits(set_zones=(ZONE_OUT,)))
         ahead = bench.machine.tables.revision + 1
@@ -452,32 +465,34 @@
         assert not update.zones
         assert not update.pools
 
-    def test_many_changed_rows_do_not_stop_a_control_instance(self) -> None:
-        """Leaders change again and again when one cut-off node returns.
+    def test_many_changed_rows_do_not_block_a_control_instance(self) -> None:
+        """An answer with many rows must not cause changes of leader.
 
-        A node has missed hundreds of changes of many rows and asks for them.
-        The answer compared each row with each other one, on the loop that
-        also has to send the leader's heartbeats.
+        A process that was disconnected asks for hundreds of changes of many
+        rows.  Comparing each row with each other one would block the event
+        loop, which also has to send the leader's heartbeats.
         """
         state = MachineState(revision=1)
         for number in range(MANY_ROWS):
             mark = ZoneMark(f'zone-{number}', out=False)
             state.put(Table.ZONE, mark.zone, mark)
-        deltas = Deltas(0)
-        gone = RowName(Table.ZONE, 'gone')
-        deltas.note(2, [*state.touched, gone])
+        changes = RecentChanges(0)
+        removed = RowName(Table.ZONE, 'gone')
+        changes.record_revision(2, [*state.changed_rows, removed])
         state.revision = 2
         before = time.perf_counter()
-        update = deltas.since(state, 1)
-        assert time.perf_counter() - before < LONGEST_STOP
+        update = changes.update_since(state, 1)
+        assert time.perf_counter() - before < MAX_ANSWER_SECONDS
         assert len(update.zones) == MANY_ROWS
-        assert update.removed == (gone,)
+        assert update.removed == (removed,)
 
-    def test_a_change_without_effect_has_a_revision(self, bench: Bench) -> None:
-        """An operator's tool would wait for ever for a change in force.
+    def test_change_without_effect_increases_the_revision(
+        self, bench: Bench
+    ) -> None:
+        """An operator's tool must not wait forever for a change.
 
-        The change sets what is already set; its answer names a revision, and
-        every process has to reach it.
+        The change sets rows to their current contents.  Its answer names a
+        revision, and the tool waits until every process has reached it.
         """
         answer = bench.change(Edits(set_pools=(POOL,)))
         assert bench.machine.tables.revision == answer.revision
--- a/redwingstream/tables/tests/test_routing.py
+++ b/redwingstream/tables/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Which pool a caller's traffic belongs to."""
+"""Lookup of the route for a caller and a service."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 class TestRouting:
-    """The longest network that holds the caller wins."""
+    """The route with the longest prefix that contains the caller applies."""
 
     @pytest.mark.parametrize(
         ('host', 'pool'),
