--- a/asv_bench/retention_policies.py
+++ b/asv_bench/retention_policies.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from redwingstream.requests.begun import Fresh, Full, OutcomeUnknown
+from redwingstream.requests.begin_results import Fresh, Full, OutcomeUnknown
 from redwingstream.requests.ledger import Ledger
 from redwingstream.requests.records import RequestKey, RequestState
 
--- a/properties/test_ledger.py
+++ b/properties/test_ledger.py
@@ -14,7 +14,7 @@
     rule,
 )
 
-from redwingstream.requests.begun import (
+from redwingstream.requests.begin_results import (
     Answered,
     Fresh,
     Full,
--- a/redwingstream/agent/non_idempotent.py
+++ b/redwingstream/agent/non_idempotent.py
@@ -24,7 +24,7 @@
 from redwingstream.errors import ResultCode
 from redwingstream.forwarding.messages import Packet, RunOutcome
 from redwingstream.placement.messages import BucketContents
-from redwingstream.requests.begun import (
+from redwingstream.requests.begin_results import (
     BeginResult,
     Fresh,
     Full,
--- a/redwingstream/requests/__init__.py
+++ b/redwingstream/requests/__init__.py
@@ -1,19 +1,23 @@
-"""Non-idempotent requests: at most one run each, and truthful outcomes.
+"""At-most-once execution of non-idempotent requests.
+
+A ledger records each request before it runs.  A replay (a packet that repeats a
+request) gets the recorded answer and never causes a second run.
 
 Modules
 -------
 records, states
-    What is remembered of a request, and which knowledge is the better one.
-ledger, begun
-    What a request that has arrived is to get.
+    Key, state and entry of a request, and the precedence of states.
+ledger, begin_results
+    The ledger, and what it says about a request that has arrived.
 store, slots
-    Entries by request and by bucket.
-condensing, condensed, filters
-    What a full ledger keeps of requests in place of their entries.
+    Entries of a ledger by request and by bucket.
+condensing_order, condensed, filters
+    Bloom filters that replace entries when the ledger is full, and the order
+    in which entries are replaced.
 checksum
-    Digest that tells apart uses of one message id.
+    Digest that distinguishes different requests with the same message id.
 outcomes
-    The packets that tell a caller what became of its request.
+    Packets that tell a caller the outcome of its request.
 counters
-    What a ledger counts.
+    Counters of a ledger.
 """
--- a/redwingstream/requests/checksum.py
+++ b/redwingstream/requests/checksum.py
@@ -1,10 +1,10 @@
-"""Digest of what a request asks for.
+"""Digest of the contents of a request.
 
-The paper that the ledger follows sums up part of the data; here a false match
-would hand one request's answer to another one, so the digest is one that
-nobody can aim at: 16 bytes of BLAKE2b over all options and the payload.
-xxhash would save 0.25 of 1.3 microseconds, most of which go into walking the
-options, but a caller can make two requests collide under it.
+A collision would give the answer of one request to another one, so the digest
+covers all options and the payload (the paper that the ledger follows uses a sum
+over part of the data) and is collision-resistant: 16 bytes of BLAKE2b.  xxhash
+would save 0.25 of 1.3 microseconds, most of which are spent on iterating over
+the options, but a caller can construct two requests that collide.
 """
 
 import hashlib
@@ -15,7 +15,7 @@
 
 CHECKSUM_SIZE = 16
 _LENGTH_BYTES = 4
-# No option has this number, so options and payload cannot be confused.
+# No option has this number, which separates the options from the payload.
 _PAYLOAD_MARK = b'\xff' * _LENGTH_BYTES
 _PERSON = b'request'
 
@@ -23,9 +23,10 @@
 def request_checksum(request: Message) -> bytes:
     """Return the digest of method, options and payload of a request.
 
-    Message id and token are in the request's key.  The deadline is left out:
-    a caller that repeats a request has less time left, and with the deadline
-    in the digest its replay would pass for a new request and run twice.
+    Message id and token are part of the request's key.  The deadline is left
+    out: a caller that repeats a request has less time left, and if the digest
+    included the deadline, the replay would be treated as a new request and run
+    a second time.
 
     Parameters
     ----------
@@ -42,7 +43,7 @@
     for option in request.opt.option_list():
         if option.number != DEADLINE_OPTION:
             encoded = option.encode()
-            # Lengths keep the end of one option apart from the next one.
+            # The lengths delimit the options.
             digest.update(int(option.number).to_bytes(_LENGTH_BYTES, 'big'))
             digest.update(len(encoded).to_bytes(_LENGTH_BYTES, 'big'))
             digest.update(encoded)
--- a/redwingstream/requests/condensed.py
+++ b/redwingstream/requests/condensed.py
@@ -1,4 +1,4 @@
-"""What a ledger keeps of requests for which it has no entry."""
+"""Compact record of requests for which a ledger has no entry."""
 
 from redwingstream.requests.filters import RequestFilters
 from redwingstream.requests.records import CondensedRequests
@@ -7,19 +7,19 @@
 
 
 class CondensedMemory:
-    """Requests of which only this is known: refused, or ended somehow.
+    """Bloom filters of requests that were refused and of requests that ended.
 
     Parameters
     ----------
     horizon : float
-        Seconds for which they are remembered at least.
+        Minimum number of seconds for which a request is remembered.
 
     Attributes
     ----------
     refused : RequestFilters
-        Surely not run; replays are told so.
+        Requests that were certainly not run; replays get *not run*.
     ended : RequestFilters
-        Ran, or may have run; replays are told *unknown*.
+        Requests that ran or may have run; replays get *unknown*.
     """
 
     def __init__(self, horizon: float) -> None:
@@ -28,13 +28,13 @@
 
     @property
     def size(self) -> int:
-        """Bytes of all filters."""
+        """Size of all filters in bytes."""
         return self.refused.size + self.ended.size
 
-    def take(self, slot: Slot, now: float) -> bool:
-        """Remember an entry that is to go; False when it must stay."""
+    def condense(self, slot: Slot, now: float) -> bool:
+        """Add an entry to a filter; False if it must stay in the ledger."""
         if is_surely_not_run(slot.state):
-            # One mistaken for another is told *not run*, and is not run.
+            # A false positive is told *not run*, and indeed is not run.
             self.refused.add(slot.bucket, *slot.identity, now)
             return True
         if self.ended.is_full(slot.bucket, now):
@@ -43,7 +43,7 @@
         return True
 
     def export(self, bucket: int, now: float) -> CondensedRequests:
-        """Return what is known of a bucket."""
+        """Return the filters of a bucket."""
         return CondensedRequests(
             self.refused.export(bucket, now), self.ended.export(bucket, now)
         )
@@ -51,11 +51,11 @@
     def merge(
         self, bucket: int, condensed: CondensedRequests, now: float
     ) -> None:
-        """Add what another ledger knows of a bucket."""
+        """Add the filters of another ledger for a bucket."""
         self.refused.merge(bucket, condensed.refused, now)
         self.ended.merge(bucket, condensed.ended, now)
 
     def drop(self, bucket: int) -> None:
-        """Forget a bucket."""
+        """Remove the filters of a bucket."""
         self.refused.drop(bucket)
         self.ended.drop(bucket)
--- a/redwingstream/requests/counters.py
+++ b/redwingstream/requests/counters.py
@@ -1,25 +1,26 @@
-"""What a ledger counts."""
+"""Counters of a ledger."""
 
 import attrs
 
 
 @attrs.define
 class LedgerCounters:
-    """How often each thing happened, for the state dump and metrics.
+    """Numbers of events in a ledger, for the state dump and metrics.
 
     Parameters
     ----------
     fresh, replayed, refused : int
-        Requests begun, found again, and refused for want of room.
+        Requests that were new, were replayed, or were refused because the
+        ledger was full.
     expired, condensed : int
-        Entries forgotten after the replay horizon, and entries condensed into
-        a filter because the ledger was full.
+        Entries removed after the replay horizon, and entries condensed into a
+        filter because the ledger was full.
     answers_too_large : int
-        Answers too large to keep, which replays do not get.
+        Answers that were too large to keep, so that replays do not get them.
     unmatched : int
         Outcomes of requests that are not in the ledger.
     contradictions : int
-        Requests known as *not run* for which an answer turned up.
+        Requests with conflicting outcomes: *not run* and an answer.
     """
 
     fresh: int = 0
--- a/redwingstream/requests/filters.py
+++ b/redwingstream/requests/filters.py
@@ -1,7 +1,8 @@
-"""Sets of requests in a fixed number of bytes.
+"""Bloom filters of requests.
 
-A Bloom filter errs on one side only: it may hold a new request, which is then
-not run; it never lets go of one that was added.
+A filter takes a fixed number of bytes.  It may have false positives, so that a
+new request is not run, but no false negatives: a request that was added is
+always found until it expires.
 """
 
 import hashlib
@@ -10,120 +11,121 @@
 from redwingstream.requests.records import RequestKey
 
 FILTER_BYTES = 4096
-# Requests in one generation up to which 0.1 % of new requests at the most are
-# mistaken for one of them.
+# Maximum number of requests in one generation, for which at most 0.1 % of new
+# requests are false positives.
 FILTER_CAPACITY = 2000
 _FILTER_BITS = FILTER_BYTES * 8
-_POSITIONS = 6
-_POSITION_BYTES = 2
+_BITS_PER_REQUEST = 6
+_BIT_INDEX_BYTES = 2
 
 
 class RequestFilter:
-    """Remembers requests for at least the replay horizon.
+    """Bloom filter that keeps requests for at least the replay horizon.
 
-    Two generations of bits: one is filled, the other is kept until everything
-    in it is older than the horizon.
+    It has two generations of bits: new requests are added to one, and the other
+    is kept until all requests in it are older than the horizon.
 
     Parameters
     ----------
     horizon : float
-        Seconds for which a request is remembered at least.
+        Minimum number of seconds for which a request is remembered.
     now : float
-        Seconds.
+        Current time in seconds, by the event loop's clock.
     """
 
     def __init__(self, horizon: float, now: float) -> None:
         self._horizon = horizon
-        self._turned_at = now
+        self._rotated_at = now
         self._newer = 0
         self._older = 0
         self._added = 0
 
-    def add(self, positions: int, now: float) -> None:
-        """Remember a request by its bits."""
-        self._turn(now)
-        self._newer |= positions
+    def add(self, mask: int, now: float) -> None:
+        """Add a request, given as the mask of its bits."""
+        self._rotate(now)
+        self._newer |= mask
         self._added += 1
 
     def is_full(self, now: float) -> bool:
-        """Whether more would be mistaken for others too often."""
-        self._turn(now)
+        """Whether another request would cause too many false positives."""
+        self._rotate(now)
         return self._added >= FILTER_CAPACITY
 
-    def holds(self, positions: int, now: float) -> bool:
-        """Whether a request was, or may have been, added lately."""
-        self._turn(now)
+    def may_contain(self, mask: int, now: float) -> bool:
+        """Whether a request was, or may have been, added recently."""
+        self._rotate(now)
         generations = (self._newer, self._older)
-        return any(bits & positions == positions for bits in generations)
+        return any(bits & mask == mask for bits in generations)
 
     def export(self, now: float) -> bytes:
         """Return the bits of both generations as one filter."""
-        self._turn(now)
+        self._rotate(now)
         return (self._newer | self._older).to_bytes(FILTER_BYTES, 'big')
 
-    def _turn(self, now: float) -> None:
-        elapsed = now - self._turned_at
+    def _rotate(self, now: float) -> None:
+        elapsed = now - self._rotated_at
         if elapsed <= self._horizon:
             return
-        # Additions turn the filter first, so the newer generation holds none
-        # made later than a horizon after the last turn, and the older one only
-        # what is by now older than the horizon.
+        # Each addition first rotates the filter if that is due, so the newer
+        # generation has no request added later than a horizon after the last
+        # rotation, and all requests in the older one are now older than the
+        # horizon.
         self._older = self._newer if elapsed <= 2 * self._horizon else 0
         self._newer = 0
         self._added = 0
-        self._turned_at = now
+        self._rotated_at = now
 
 
 class RequestFilters:
-    """A filter for each bucket of which a request was added.
+    """Filters by bucket, created when the first request is added.
 
     Parameters
     ----------
     horizon : float
-        Seconds for which a request is remembered at least.
+        Minimum number of seconds for which a request is remembered.
     """
 
     def __init__(self, horizon: float) -> None:
         self._horizon = horizon
-        self._by_bucket: dict[int, RequestFilter] = {}
+        self._filter_by_bucket: dict[int, RequestFilter] = {}
 
     @property
     def size(self) -> int:
-        """Bytes of all filters, with both generations of each."""
-        return 2 * FILTER_BYTES * len(self._by_bucket)
+        """Size of all filters in bytes, with both generations of each."""
+        return 2 * FILTER_BYTES * len(self._filter_by_bucket)
 
     def add(
         self, bucket: int, key: RequestKey, checksum: bytes, now: float
     ) -> None:
-        """Remember a request."""
-        self._of_bucket(bucket, now).add(_positions(key, checksum), now)
+        """Add a request."""
+        self._filter_for(bucket, now).add(_bit_mask(key, checksum), now)
 
-    def holds(
+    def may_contain(
         self, bucket: int, key: RequestKey, checksum: bytes, now: float
     ) -> bool:
-        """Whether a request was, or may have been, added lately."""
-        requests = self._by_bucket.get(bucket)
-        if requests is None:
+        """Whether a request was, or may have been, added recently."""
+        request_filter = self._filter_by_bucket.get(bucket)
+        if request_filter is None:
             return False
-        return requests.holds(_positions(key, checksum), now)
+        return request_filter.may_contain(_bit_mask(key, checksum), now)
 
     def is_full(self, bucket: int, now: float) -> bool:
-        """Whether a bucket's filter should take no more."""
-        requests = self._by_bucket.get(bucket)
-        return requests is not None and requests.is_full(now)
+        """Whether no more requests should be added to a bucket's filter."""
+        request_filter = self._filter_by_bucket.get(bucket)
+        return request_filter is not None and request_filter.is_full(now)
 
     def export(self, bucket: int, now: float) -> bytes:
-        """Return a bucket's filter; empty when nothing was added."""
-        requests = self._by_bucket.get(bucket)
-        return b'' if requests is None else requests.export(now)
+        """Return a bucket's filter; empty if nothing was added."""
+        request_filter = self._filter_by_bucket.get(bucket)
+        return b'' if request_filter is None else request_filter.export(now)
 
     def merge(self, bucket: int, exported: bytes, now: float) -> None:
-        """Add a filter exported elsewhere, as if all in it were added now.
+        """Add an exported filter, as if all its requests were added now.
 
         Raises
         ------
         WireError
-            When it is no filter.
+            When its size is not that of a filter.
         """
         if not exported:
             return
@@ -133,30 +135,30 @@
                 f'must have {FILTER_BYTES}'
             )
         bits = int.from_bytes(exported, 'big')
-        self._of_bucket(bucket, now).add(bits, now)
+        self._filter_for(bucket, now).add(bits, now)
 
     def drop(self, bucket: int) -> None:
-        """Forget a bucket."""
-        self._by_bucket.pop(bucket, None)
+        """Remove the filter of a bucket."""
+        self._filter_by_bucket.pop(bucket, None)
 
-    def _of_bucket(self, bucket: int, now: float) -> RequestFilter:
-        requests = self._by_bucket.get(bucket)
-        if requests is None:
-            requests = RequestFilter(self._horizon, now)
-            self._by_bucket[bucket] = requests
-        return requests
+    def _filter_for(self, bucket: int, now: float) -> RequestFilter:
+        request_filter = self._filter_by_bucket.get(bucket)
+        if request_filter is None:
+            request_filter = RequestFilter(self._horizon, now)
+            self._filter_by_bucket[bucket] = request_filter
+        return request_filter
 
 
-def _positions(key: RequestKey, checksum: bytes) -> int:
-    """Return the bits of a request."""
-    size = _POSITIONS * _POSITION_BYTES
+def _bit_mask(key: RequestKey, checksum: bytes) -> int:
+    """Return the mask of a request's bits."""
+    size = _BITS_PER_REQUEST * _BIT_INDEX_BYTES
     digest = hashlib.blake2b(checksum, digest_size=size)
     digest.update(f'{key.caller} {key.service} {key.message_id} '.encode())
     digest.update(key.token)
-    drawn = digest.digest()
-    positions = 0
-    for start in range(0, size, _POSITION_BYTES):
-        end = start + _POSITION_BYTES
-        drawn_number = int.from_bytes(drawn[start:end], 'big')
-        positions |= 1 << (drawn_number % _FILTER_BITS)
-    return positions
+    digest_bytes = digest.digest()
+    mask = 0
+    for start in range(0, size, _BIT_INDEX_BYTES):
+        end = start + _BIT_INDEX_BYTES
+        bit_index = int.from_bytes(digest_bytes[start:end], 'big')
+        mask |= 1 << (bit_index % _FILTER_BITS)
+    return mask
--- a/redwingstream/requests/ledger.py
+++ b/redwingstream/requests/ledger.py
@@ -1,15 +1,15 @@
-"""The ledger: what a process remembers of non-idempotent requests.
+"""Bounded record of non-idempotent requests, which prevents second runs.
 
-A request is identified by its key and its checksum together: a message id or a
-token used again for something else is another request, and the older one is
-still remembered.  Why the ledger refuses new work where others would forget is
-measured in ``docs/design/ledger.md``.
+A request is identified by its key together with its checksum: if a caller
+reuses a message id or a token for different contents, it is another request,
+and the earlier one is still remembered.  ``docs/design/ledger.md`` has the
+measurements behind refusing new requests instead of dropping old ones.
 """
 
 import math
 from collections.abc import Iterable
 
-from redwingstream.requests.begun import (
+from redwingstream.requests.begin_results import (
     Answered,
     BeginResult,
     Fresh,
@@ -28,42 +28,45 @@
 from redwingstream.requests.slots import ANSWER_LIMIT, Slot
 from redwingstream.requests.store import SlotStore
 
-# Bytes that an entry costs besides its answer: docs/design/ledger.md.
-ENTRY_COST = 800
-# Entries passed over, for one request, because their buckets' filters are full.
-MOST_DEFERRED = 16
-# Callers that are refused for want of room are asked to wait this many seconds
-# at the most, however long the oldest entry still has to stay.
-MAX_COME_BACK = 30
+# Bytes of memory per entry, besides its answer: docs/design/ledger.md.
+ENTRY_BYTES = 800
+# Maximum number of entries that are skipped for one request because the filters
+# of their buckets are full.
+MAX_DEFERRED = 16
+# Maximum number of seconds that callers are asked to wait when the ledger is
+# full, no matter how long the oldest entry still has to stay.
+MAX_RETRY_AFTER = 30
 
 
 class Ledger:
-    """Bounded memory of non-idempotent requests.
+    """Bounded record of non-idempotent requests.
 
-    It forgets nothing that could be replayed into a second run: neither a run
-    in progress here, nor anything first seen within the replay horizon.  When
-    there is no room left, it condenses ended requests, whose replays then get
-    *unknown* in place of the answer; when that is at its bound too, it refuses
-    new work.
+    It keeps every request whose replay could cause a second run: runs in
+    progress in this process, and all requests first seen within the replay
+    horizon.  When it is full, it condenses ended requests into Bloom filters;
+    their replays then get *unknown* instead of the answer.  When these filters
+    are full too, it refuses new requests.
 
     Parameters
     ----------
     capacity : int
-        How many entries it begins or accepts; contents of a bucket that it
-        takes over are merged beyond that, and new work waits until they go.
+        Maximum number of entries for new requests.  Entries of a bucket that is
+        taken over are merged beyond it, and new requests are refused until
+        enough entries have gone.
     replay_horizon : float
-        Seconds after the first packet of a request in which others of it can
-        come (``EXCHANGE_LIFETIME`` of RFC 7252 is 247).  It is not counted
-        from the last packet, of which the heir hears nothing: when it took
-        over, it would forget a request that its former home still knew.
+        Seconds after the first packet of a request in which further packets of
+        it can arrive (``EXCHANGE_LIFETIME`` of RFC 7252 is 247).  It is not
+        counted from the last packet, of which the heir is not informed: after
+        taking over, the heir would drop a request that the former home still
+        knew.
 
     Attributes
     ----------
     condensed : CondensedMemory
-        Requests without an entry.  What it exports of a bucket must travel
-        with the bucket's entries, or they could run again at the next home.
+        Requests without an entry.  They have to be transferred with the entries
+        of their bucket, or they could run again at the next home.
     counters : LedgerCounters
-        What happened so far.
+        Numbers of events so far.
     """
 
     def __init__(self, capacity: int, replay_horizon: float) -> None:
@@ -80,44 +83,45 @@
     @property
     def bytes_held(self) -> int:
         """Estimated memory in bytes: entries, answers and filters."""
-        entries = len(self) * ENTRY_COST
+        entries = len(self) * ENTRY_BYTES
         return entries + self._slots.answer_bytes + self.condensed.size
 
     @property
-    def bytes_bound(self) -> int:
-        """What a full ledger costs at the most in bytes, without filters."""
-        return self.capacity * (ENTRY_COST + ANSWER_LIMIT)
+    def max_bytes(self) -> int:
+        """Maximum memory of a full ledger in bytes, without filters."""
+        return self.capacity * (ENTRY_BYTES + ANSWER_LIMIT)
 
     def has_room(self, count: int) -> bool:
-        """Whether there is room for so many new entries as things stand."""
+        """Whether that many entries fit without removing others."""
         return len(self) + count <= self.capacity
 
     def make_room(self, count: int, now: float) -> bool:
-        """Expire and condense entries until there is room for new ones.
+        """Evict and condense entries until new ones fit.
 
         Parameters
         ----------
         count : int
-            How many; an heir asks for the new ones in a record.
+            Number of new entries; for an heir, those in a record that it
+            receives.
         now : float
-            Seconds.
+            Current time in seconds, by the event loop's clock.
 
         Returns
         -------
         bool
-            False means: refuse the record or the request.
+            False if the record or the request has to be refused.
         """
         self.evict_expired(now)
         deferred = 0
         while not self.has_room(count):
-            slot = self._slots.condensable()
-            if slot is None or deferred >= MOST_DEFERRED:
+            slot = self._slots.next_to_condense()
+            if slot is None or deferred >= MAX_DEFERRED:
                 return False
-            if self.condensed.take(slot, now):
+            if self.condensed.condense(slot, now):
                 self._slots.remove(slot)
                 self.counters.condensed += 1
             else:
-                # Its bucket's filter is full, those of others may not be.
+                # The filter of its bucket is full; others may not be.
                 self._slots.defer(slot)
                 deferred += 1
         return True
@@ -125,32 +129,33 @@
     def begin(
         self, bucket: int, key: RequestKey, checksum: bytes, now: float
     ) -> BeginResult:
-        """Say what a request that has arrived at its home is to get.
+        """Register a request that has arrived at its home.
 
         Parameters
         ----------
         bucket : int
             Bucket of its flow.
         key : RequestKey
-            Which request.
+            Key of the request.
         checksum : bytes
             See :func:`~redwingstream.requests.checksum.request_checksum`.
         now : float
-            Seconds.
+            Current time in seconds, by the event loop's clock.
 
         Returns
         -------
         Begun
-            Only after :class:`Fresh` may it be run, once it is recorded.
+            What is known of the request.  It may only be run if it is
+            :class:`Fresh`, and only once it is recorded.
         """
         slot = self._slots.get(key, checksum)
         if slot is not None:
             self.counters.replayed += 1
-            return _replay_of(slot)
-        if self.condensed.ended.holds(bucket, key, checksum, now):
+            return _replay_result(slot)
+        if self.condensed.ended.may_contain(bucket, key, checksum, now):
             self.counters.replayed += 1
             return OutcomeUnknown(b'')
-        if self.condensed.refused.holds(bucket, key, checksum, now):
+        if self.condensed.refused.may_contain(bucket, key, checksum, now):
             return self._refuse(bucket, key, checksum, now)
         if not self.make_room(1, now):
             return self._refuse(bucket, key, checksum, now)
@@ -167,105 +172,109 @@
         answer: bytes,
         now: float,
     ) -> None:
-        """Take the outcome of a run; a better one may follow, no worse one.
+        """Record the outcome of a run.
+
+        A later outcome replaces it only if its state takes precedence.
 
         Parameters
         ----------
         key, checksum : RequestKey and bytes
-            Which request.
+            Identity of the request.
         state : RequestState
-            A final state.
+            Final state.
         answer : bytes
-            What the caller is told.  Above :data:`ANSWER_LIMIT` it is not
-            kept, and replays get *unknown*: true, if less than they hoped.
+            Packet that the caller is sent.  If it is larger than
+            :data:`ANSWER_LIMIT`, it is not kept, and replays get *unknown*.
         now : float
-            Seconds.
+            Current time in seconds, by the event loop's clock.
         """
         slot = self._slots.get(key, checksum)
         if slot is None:
             self.counters.unmatched += 1
             return
-        self._slots.improve(slot, state, answer)
-        # More than is promised, for callers that repeat a request that took
-        # long: the heir's entry is not postponed by this.
-        self._slots.postpone(slot, now)
+        self._slots.record_outcome(slot, state, answer)
+        # This keeps the entry longer than the replay horizon requires, for
+        # callers that repeat a request that took long.  The retention of the
+        # heir's entry is not extended.
+        self._slots.restart_retention(slot, now)
 
     def abandon(
         self, key: RequestKey, checksum: bytes, answer: bytes, now: float
     ) -> None:
-        """Give up a fresh request that no heir has acknowledged.
+        """Give up a new request that no heir has acknowledged.
 
-        Once the heir has acknowledged it, a request that is not handed over
-        ends with :meth:`finish` and ``NOT_RUN`` instead, which the heir
-        believes.
+        If the heir has acknowledged it, a request that is not passed to a
+        server ends by :meth:`finish` with ``NOT_RUN`` instead, which takes
+        precedence over the heir's ``STARTED``.
 
         Parameters
         ----------
         key, checksum : RequestKey and bytes
-            Which request.
+            Identity of the request.
         answer : bytes
-            What the caller is told.
+            Packet that the caller is sent.
         now : float
-            Seconds.
+            Current time in seconds, by the event loop's clock.
         """
         slot = self._slots.get(key, checksum)
         if slot is None or not slot.is_running:
             self.counters.unmatched += 1
             return
         self._slots.abandon(slot, answer)
-        self._slots.postpone(slot, now)
+        self._slots.restart_retention(slot, now)
 
     def find_entry(
         self, key: RequestKey, checksum: bytes, now: float | None = None
     ) -> LedgerEntry | None:
-        """Return an entry as it travels, or None.
+        """Return an entry in the form in which it is transferred, or None.
 
         Parameters
         ----------
         key, checksum : RequestKey and bytes
-            Which request.
+            Identity of the request.
         now : float, optional
-            Seconds; without it the age is 0, which only keeps it longer.
+            Current time in seconds, by the event loop's clock.  Without it the
+            age is 0, which only makes the receiver keep the entry longer.
         """
         slot = self._slots.get(key, checksum)
         if slot is None:
             return None
-        return slot.to_entry(slot.kept_since if now is None else now)
+        return slot.to_entry(slot.retained_from if now is None else now)
 
     def export(self, bucket: int, now: float) -> tuple[LedgerEntry, ...]:
         """Return the entries of a bucket, for its next home or its heir."""
-        slots = self._slots.of_bucket(bucket)
+        slots = self._slots.slots_in_bucket(bucket)
         return tuple(slot.to_entry(now) for slot in slots)
 
     def merge(
         self, bucket: int, entries: Iterable[LedgerEntry], now: float
     ) -> None:
-        """Take entries from another ledger, beyond the capacity if need be.
+        """Merge entries of another ledger, beyond the capacity if necessary.
 
         Parameters
         ----------
         bucket : int
             Bucket of the entries.
         entries : iterable of LedgerEntry
-            In any order and any number of times.
+            In any order; merging an entry repeatedly has no further effect.
         now : float
-            Seconds.
+            Current time in seconds, by the event loop's clock.
         """
         for entry in entries:
             self._slots.merge(bucket, entry, now)
 
     def drop(self, bucket: int) -> None:
-        """Forget a bucket that is neither home nor heir here any more."""
-        for slot in tuple(self._slots.of_bucket(bucket)):
+        """Remove a bucket of which this agent is neither home nor heir."""
+        for slot in tuple(self._slots.slots_in_bucket(bucket)):
             self._slots.remove(slot)
         self.condensed.drop(bucket)
 
     def evict_expired(self, now: float) -> None:
-        """Forget what is older than the replay horizon and not running."""
+        """Remove entries older than the replay horizon, except running ones."""
         oldest = self._slots.oldest()
-        while oldest and now - oldest.kept_since > self.replay_horizon:
+        while oldest and now - oldest.retained_from > self.replay_horizon:
             if oldest.is_running:
-                self._slots.postpone(oldest, now)
+                self._slots.restart_retention(oldest, now)
             else:
                 self.counters.expired += 1
                 self._slots.remove(oldest)
@@ -274,23 +283,23 @@
     def _refuse(
         self, bucket: int, key: RequestKey, checksum: bytes, now: float
     ) -> Full:
-        # Without this a duplicate of a refused packet, late on its way, could
-        # find room and run although its caller was told *not run* and has
-        # sent the work again under a new message id: it would be done twice.
+        # Otherwise a delayed duplicate of a refused packet could be accepted
+        # later and run, although its caller was told *not run* and has sent the
+        # request again with a new message id: it would be executed twice.
         self.condensed.refused.add(bucket, key, checksum, now)
         self.counters.refused += 1
-        return Full(self._come_back(now))
+        return Full(self._retry_after(now))
 
-    def _come_back(self, now: float) -> int:
+    def _retry_after(self, now: float) -> int:
         oldest = self._slots.oldest()
         if oldest is None or self.has_room(1):
             return 1
-        wait = math.ceil(oldest.kept_since + self.replay_horizon - now)
-        return max(1, min(wait, MAX_COME_BACK))
+        wait = math.ceil(oldest.retained_from + self.replay_horizon - now)
+        return max(1, min(wait, MAX_RETRY_AFTER))
 
 
-def _replay_of(slot: Slot) -> BeginResult:
-    """Return what another packet of a known request gets."""
+def _replay_result(slot: Slot) -> BeginResult:
+    """Return the result for a replay of a known request."""
     if slot.is_running:
         return Running()
     match slot.state:
@@ -301,5 +310,5 @@
         case RequestState.UNKNOWN:
             return OutcomeUnknown(slot.answer)
         case _:
-            # STARTED elsewhere, or an answer too large to keep.
+            # STARTED in another process, or an answer too large to keep.
             return OutcomeUnknown(b'')
--- a/redwingstream/requests/outcomes.py
+++ b/redwingstream/requests/outcomes.py
@@ -1,10 +1,10 @@
-"""How a caller is told what became of its request."""
+"""Packets that tell a caller the outcome of its request."""
 
 import attrs
 from aiocoap.message import Message
 
 from redwingstream.errors import ResultCode
-from redwingstream.requests.begun import (
+from redwingstream.requests.begin_results import (
     Answered,
     BeginResult,
     Full,
@@ -17,28 +17,28 @@
 
 @attrs.frozen
 class NotRun:
-    """Final: surely not run.
+    """Final outcome: the request was certainly not run.
 
     Parameters
     ----------
     reason : ResultCode
-        Why.
-    come_back : int
-        Seconds after which a new attempt is welcome.
+        Reason.
+    retry_after : int
+        Seconds after which the caller may try again.
     """
 
     reason: ResultCode
-    come_back: int
+    retry_after: int
 
 
 @attrs.frozen
 class Unknown:
-    """Final: it may have run once and will not be run again.
+    """Final outcome: the request may have run once and is not run again.
 
     Parameters
     ----------
     reason : ResultCode
-        What is known, by default only that the outcome is not.
+        Reason; by default that the outcome is not known.
     """
 
     reason: ResultCode = ResultCode.OUTCOME_UNKNOWN
@@ -46,19 +46,19 @@
 
 Outcome = NotRun | Unknown
 
-# For a replay of a request whose refusal was not kept.
-_NOT_RUN_BEFORE = NotRun(ResultCode.OVERLOADED, come_back=1)
+# For replays of requests whose refusal was not kept.
+_NOT_RUN_BEFORE = NotRun(ResultCode.OVERLOADED, retry_after=1)
 
 
 def outcome_packet(request: Message, outcome: Outcome) -> bytes:
-    """Return the packet that tells a caller an outcome without an answer.
+    """Return the packet that tells a caller that there is no answer.
 
     Parameters
     ----------
     request : Message
         The caller's request.
     outcome : Outcome
-        What became of it.
+        Its outcome.
 
     Returns
     -------
@@ -66,35 +66,35 @@
         5.03 with Max-Age for *not run*, 5.04 for *unknown*.
     """
     match outcome:
-        case NotRun(reason, come_back):
-            packet = coap.refusal(request, reason, come_back)
+        case NotRun(reason, retry_after):
+            packet = coap.refusal(request, reason, retry_after)
         case Unknown(reason):
             packet = coap.unknown_outcome(request, reason)
     return coap.encode(packet)
 
 
-def reply_packet(request: Message, begun: BeginResult) -> bytes | None:
-    """Return what a caller gets for a request that is not to be run.
+def reply_packet(request: Message, result: BeginResult) -> bytes | None:
+    """Return the packet for a request that is not to be run.
 
     Parameters
     ----------
     request : Message
-        What has arrived.
-    begun : Begun
-        What the ledger says of it.
+        Request that has arrived.
+    result : BeginResult
+        Result of the ledger for it.
 
     Returns
     -------
     bytes or None
-        None for :class:`~redwingstream.requests.ledger.Fresh`, and for a
+        None for :class:`~redwingstream.requests.begin_results.Fresh`, and for a
         request in progress that is not confirmable.
     """
     packet: bytes | None = None
-    match begun:
+    match result:
         case Running():
             packet = _in_progress(request)
-        case Full(come_back):
-            full = NotRun(ResultCode.LEDGER_FULL, come_back)
+        case Full(retry_after):
+            full = NotRun(ResultCode.LEDGER_FULL, retry_after)
             packet = outcome_packet(request, full)
         case OutcomeUnknown(kept):
             packet = kept or outcome_packet(request, Unknown())
@@ -106,7 +106,7 @@
 
 
 def _in_progress(request: Message) -> bytes | None:
-    """Return an empty ACK: the answer comes separately, stop repeating."""
+    """Return an empty ACK: the caller stops repeating and awaits the answer."""
     if request.mtype is not coap.CON:
         return None
     return coap.encode(coap.empty(coap.ACK, request.mid))
--- a/redwingstream/requests/records.py
+++ b/redwingstream/requests/records.py
@@ -1,4 +1,4 @@
-"""What is remembered of a non-idempotent request."""
+"""Key, state and ledger entry of a non-idempotent request."""
 
 import enum
 
@@ -6,16 +6,16 @@
 
 
 class RequestState(enum.StrEnum):
-    """How far a request came.
+    """Progress of a request.
 
     Notes
     -----
-    ``STARTED`` is recorded before the request is handed to a server, so it
-    means "may have run".  ``ABANDONED`` means that a home gave the request up
-    before its heir acknowledged it: *that* home surely did not run it, but a
-    duplicate may have reached another home.  ``NOT_RUN`` is knowledge about a
-    recorded run: its server refused it, or it was never handed over.  All but
-    ``STARTED`` are final.
+    ``STARTED`` is recorded before the request is passed to a server, so it
+    means "may have run".  ``ABANDONED`` means that a home gave up the request
+    before its heir acknowledged it: that home certainly did not run it, but a
+    duplicate may have reached another home.  ``NOT_RUN`` refers to a recorded
+    run: its server refused it, or it was never passed to a server.  All states
+    except ``STARTED`` are final.
     """
 
     ABANDONED = 'abandoned'
@@ -27,16 +27,16 @@
 
 @attrs.frozen
 class RequestKey:
-    """What makes two packets the same request (RFC 7252, section 4.5).
+    """Fields that all packets of a request share (RFC 7252, section 4.5).
 
     Parameters
     ----------
     caller, service : str
         ``IP:PORT`` of both ends.
     message_id : int
-        The caller's message id.
+        Message id that the caller chose.
     token : bytes
-        The caller's token.
+        Token that the caller chose.
     """
 
     caller: str
@@ -47,22 +47,22 @@
 
 @attrs.frozen
 class LedgerEntry:
-    """A request as it travels between the ledgers of home and heir.
+    """Entry of a request, as transferred between the ledgers of home and heir.
 
     Parameters
     ----------
     key : RequestKey
-        Which request.
+        Key of the request.
     checksum : bytes
-        Digest of method, options and payload: a message id that a caller uses
-        again for another request has another one.
+        Digest of method, options and payload, which differs if a caller reuses
+        a message id for another request.
     state : RequestState
-        How far it came.
+        Progress of the request.
     answer : bytes
-        The packet that the caller was sent, when there is one.
+        Packet that the caller was sent; empty if there is none.
     age : float
-        Seconds since it was first seen, or since it ended; clocks of two
-        processes differ, so ages travel and times do not.
+        Seconds since the request was first seen, or since it ended.  Ages are
+        transferred instead of times, since the clocks of processes differ.
     """
 
     key: RequestKey
@@ -74,14 +74,14 @@
 
 @attrs.frozen
 class CondensedRequests:
-    """Requests of a bucket without entries, as Bloom filters.
+    """Bloom filters of the requests of a bucket that have no entries.
 
     Parameters
     ----------
     refused : bytes
-        Filter of those that surely did not run; empty for none.
+        Filter of requests that certainly did not run; empty for none.
     ended : bytes
-        Filter of those that ran or may have run; empty for none.
+        Filter of requests that ran or may have run; empty for none.
     """
 
     refused: bytes = b''
--- a/redwingstream/requests/slots.py
+++ b/redwingstream/requests/slots.py
@@ -1,4 +1,4 @@
-"""An entry of a ledger as the ledger itself keeps it."""
+"""Internal form of the entries of a ledger."""
 
 import attrs
 
@@ -8,8 +8,9 @@
     RequestState,
 )
 
-# A CoAP message of this size fits any path unfragmented (RFC 7252, section
-# 4.6); larger answers travel as blocks, each an answer of its own.
+# Maximum size in bytes of an answer that is kept.  A CoAP message of this size
+# is not fragmented on any path (RFC 7252, section 4.6); larger answers are sent
+# as blocks, each of which is an answer to a separate request.
 ANSWER_LIMIT = 1152
 
 Identity = tuple[RequestKey, bytes]
@@ -17,25 +18,26 @@
 
 @attrs.define
 class Slot:
-    """An entry, with what concerns this process only.
+    """Entry of a ledger, with data that only concerns this process.
 
     Parameters
     ----------
     bucket : int
         Bucket of its flow.
     key : RequestKey
-        Which request.
+        Key of the request.
     checksum : bytes
-        Digest of what it asks for.
+        Digest of its contents.
     state : RequestState
-        How far it came.
+        Progress of the request.
     answer : bytes
-        What the caller was told, up to :data:`ANSWER_LIMIT`.
-    kept_since : float
-        Time in seconds from which its stay is counted: that of its first
-        packet, and later that of its end.
+        Packet that the caller was sent, with at most :data:`ANSWER_LIMIT`
+        bytes.
+    retained_from : float
+        Start of the retention period, in seconds by the event loop's clock:
+        when the first packet arrived, and later when the request ended.
     is_running : bool
-        True while this process has the run in its hands.
+        True while this process is running the request.
     """
 
     bucket: int
@@ -43,17 +45,17 @@
     checksum: bytes
     state: RequestState
     answer: bytes
-    kept_since: float
+    retained_from: float
     is_running: bool
 
     @property
     def identity(self) -> Identity:
-        """What the entry is found by."""
+        """Key and checksum, by which the entry is found."""
         return (self.key, self.checksum)
 
     def to_entry(self, now: float) -> LedgerEntry:
-        """Return it as it travels."""
-        age = max(0, now - self.kept_since)
+        """Return the entry in the form in which it is transferred."""
+        age = max(0, now - self.retained_from)
         return LedgerEntry(
             self.key, self.checksum, self.state, self.answer, age
         )
--- a/redwingstream/requests/store.py
+++ b/redwingstream/requests/store.py
@@ -1,9 +1,9 @@
-"""Entries of a ledger in the order in which they arrived."""
+"""Entries of a ledger, ordered by the start of their retention."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
 
-from redwingstream.requests.condensing import CondensingOrder
+from redwingstream.requests.condensing_order import CondensingOrder
 from redwingstream.requests.counters import LedgerCounters
 from redwingstream.requests.records import (
     LedgerEntry,
@@ -12,24 +12,24 @@
 )
 from redwingstream.requests.slots import ANSWER_LIMIT, Identity, Slot
 from redwingstream.requests.states import (
-    beats,
+    supersedes,
     is_contradiction,
     is_outcome_known,
 )
 
 
 class SlotStore:
-    """Entries by identity and by bucket, with their size.
+    """Entries by identity and by bucket, with the size of their answers.
 
     Parameters
     ----------
     counters : LedgerCounters
-        Where contradictions and answers that are not kept are counted.
+        Counters for contradictions and for answers that are not kept.
 
     Attributes
     ----------
     answer_bytes : int
-        Sum of the answers kept.
+        Size of all kept answers in bytes.
     """
 
     def __init__(self, counters: LedgerCounters) -> None:
@@ -47,24 +47,24 @@
         """Return the entry of a request, or None."""
         return self._by_identity.get((key, checksum))
 
-    def of_bucket(self, bucket: int) -> Iterator[Slot]:
+    def slots_in_bucket(self, bucket: int) -> Iterator[Slot]:
         """Return the entries of a bucket."""
         return iter(self._by_bucket.get(bucket, {}).values())
 
     def oldest(self) -> Slot | None:
-        """Return the entry that has been here the longest."""
+        """Return the entry whose retention started first."""
         return next(iter(self._by_identity.values()), None)
 
-    def condensable(self) -> Slot | None:
-        """Return the entry whose details are missed the least."""
-        return self._condensing.first()
+    def next_to_condense(self) -> Slot | None:
+        """Return the entry to condense next; None if none may be condensed."""
+        return self._condensing.next_to_condense()
 
     def defer(self, slot: Slot) -> None:
-        """Let others of its kind be condensed before an entry."""
-        self._condensing.place(slot)
+        """Condense other entries of the same class before this one."""
+        self._condensing.reclassify(slot)
 
     def add(self, slot: Slot) -> None:
-        """Take a new entry."""
+        """Add a new entry."""
         identity = slot.identity
         self._by_identity[identity] = slot
         self._by_bucket.setdefault(slot.bucket, {})[identity] = slot
@@ -72,61 +72,64 @@
         self._condensing.add(slot)
 
     def remove(self, slot: Slot) -> None:
-        """Forget an entry."""
+        """Remove an entry."""
         identity = slot.identity
         self._by_identity.pop(identity)
         self._condensing.remove(slot)
         self.answer_bytes -= len(slot.answer)
-        of_bucket = self._by_bucket[slot.bucket]
-        of_bucket.pop(identity)
-        if not of_bucket:
+        slots = self._by_bucket[slot.bucket]
+        slots.pop(identity)
+        if not slots:
             self._by_bucket.pop(slot.bucket)
 
-    def postpone(self, slot: Slot, now: float) -> None:
-        """Count an entry's stay from now."""
-        slot.kept_since = now
+    def restart_retention(self, slot: Slot, now: float) -> None:
+        """Restart the retention period of an entry."""
+        slot.retained_from = now
         self._by_identity.move_to_end(slot.identity)
 
-    def improve(self, slot: Slot, state: RequestState, answer: bytes) -> None:
-        """End the run in progress here, and take better knowledge of it."""
+    def record_outcome(
+        self, slot: Slot, state: RequestState, answer: bytes
+    ) -> None:
+        """End a run in this process; set a state that takes precedence."""
         slot.is_running = False
         if is_contradiction(slot.state, state):
             self._counters.contradictions += 1
-        is_missing = state is slot.state and not slot.answer
-        if is_missing or beats(state, slot.state):
+        is_answer_missing = state is slot.state and not slot.answer
+        if is_answer_missing or supersedes(state, slot.state):
             self._set_state(slot, state, answer)
 
     def abandon(self, slot: Slot, answer: bytes) -> None:
-        """Note that the request was given up before it took effect."""
+        """Record that a request was given up before it took effect."""
         slot.is_running = False
         self._set_state(slot, RequestState.ABANDONED, answer)
 
     def merge(self, bucket: int, entry: LedgerEntry, now: float) -> None:
-        """Take an entry of another ledger."""
+        """Merge an entry of another ledger."""
         slot = self.get(entry.key, entry.checksum)
         if slot is None:
             self._add_merged(bucket, entry, now - entry.age)
             return
-        # Of a run in progress here another process can only know the outcome;
-        # its STARTED or UNKNOWN is an echo of what this one recorded there.
+        # For a run in progress in this process, another process can only
+        # contribute the outcome; its STARTED or UNKNOWN originates from the
+        # record of this process.
         if is_outcome_known(entry.state) or not slot.is_running:
-            self.improve(slot, entry.state, entry.answer)
+            self.record_outcome(slot, entry.state, entry.answer)
 
     def _add_merged(
-        self, bucket: int, entry: LedgerEntry, kept_since: float
+        self, bucket: int, entry: LedgerEntry, retained_from: float
     ) -> None:
         slot = Slot(
             bucket,
             entry.key,
             entry.checksum,
             entry.state,
-            self._kept(entry.answer),
-            kept_since,
+            self._limit_answer(entry.answer),
+            retained_from,
             is_running=False,
         )
         self.add(slot)
 
-    def _kept(self, answer: bytes) -> bytes:
+    def _limit_answer(self, answer: bytes) -> bytes:
         if len(answer) <= ANSWER_LIMIT:
             return answer
         self._counters.answers_too_large += 1
@@ -135,8 +138,8 @@
     def _set_state(
         self, slot: Slot, state: RequestState, answer: bytes
     ) -> None:
-        kept = self._kept(answer)
+        kept = self._limit_answer(answer)
         self.answer_bytes += len(kept) - len(slot.answer)
         slot.state = state
         slot.answer = kept
-        self._condensing.place(slot)
+        self._condensing.reclassify(slot)
--- a/redwingstream/requests/tests/test_outcomes.py
+++ b/redwingstream/requests/tests/test_outcomes.py
@@ -1,10 +1,10 @@
-"""What callers are told, and what makes two requests the same."""
+"""Packets that tell callers an outcome, and the checksum of requests."""
 
 import pytest
 from aiocoap.message import Message
 
 from redwingstream.errors import ResultCode, WireError
-from redwingstream.requests.begun import (
+from redwingstream.requests.begin_results import (
     Answered,
     Fresh,
     Full,
@@ -26,20 +26,20 @@
 def request(
     path=('readings',), payload=b'12 cm', message_id=7, mtype=coap.CON
 ) -> Message:
-    asked = Message(code=coap.POST, payload=payload, uri_path=path)
-    asked.mtype = mtype
-    asked.mid = message_id
-    asked.token = b'\x01'
-    return coap.decode(coap.encode(asked))
+    message = Message(code=coap.POST, payload=payload, uri_path=path)
+    message.mtype = mtype
+    message.mid = message_id
+    message.token = b'\x01'
+    return coap.decode(coap.encode(message))
 
 
 class TestChecksum:
-    def test_of_a_replay_is_the_same(self):
+    def test_checksum_of_a_replay_is_equal(self):
         checksum = request_checksum(request())
         assert len(checksum) == CHECKSUM_SIZE
         assert checksum == request_checksum(request(message_id=8))
 
-    def test_of_another_request_differs(self):
+    def test_checksum_of_another_request_differs(self):
         checksums = {
             request_checksum(request(path, payload))
             for path in (('a', 'b'), ('ab',), ('b', 'a'), ('a', 'b', ''))
@@ -47,11 +47,11 @@
         }
         assert len(checksums) == 8
 
-    def test_deadline_is_not_part_of_the_request(self):
-        """A reading is stored twice by a caller that counts its time down.
+    def test_deadline_is_not_part_of_the_checksum(self):
+        """A replay with less time left must not run as a new request.
 
-        It repeats the same request with less time left in it.  Cause: the
-        replay's checksum differs, so it passes for a new request.
+        A caller that repeats a request states the time that is left.  If the
+        deadline were part of the checksum, the replay would have another one.
         """
         early, late = request(), request()
         coap.set_deadline(early, 9)
@@ -59,10 +59,10 @@
         assert request_checksum(early) == request_checksum(late)
 
 
-class TestTold:
-    def test_not_run(self):
+class TestOutcomePackets:
+    def test_not_run_has_max_age_and_reason(self):
         packet = outcome_packet(
-            request(), NotRun(ResultCode.OVERLOADED, come_back=9)
+            request(), NotRun(ResultCode.OVERLOADED, retry_after=9)
         )
         answer = coap.decode(packet)
         assert answer.code == coap.SERVICE_UNAVAILABLE
@@ -70,13 +70,13 @@
         assert answer.payload == b'overloaded'
         assert answer.mid == 7
 
-    def test_unknown(self):
+    def test_unknown_has_reason(self):
         answer = coap.decode(outcome_packet(request(), Unknown()))
         assert answer.code == coap.GATEWAY_TIMEOUT
         assert answer.payload == b'outcome_unknown'
 
     @pytest.mark.parametrize(
-        ('begun', 'code'),
+        ('result', 'code'),
         [
             (Running(), coap.EMPTY),
             (Full(3), coap.SERVICE_UNAVAILABLE),
@@ -84,21 +84,21 @@
             (OutcomeUnknown(b''), coap.GATEWAY_TIMEOUT),
         ],
     )
-    def test_again_without_a_kept_packet(self, begun, code):
-        answer = coap.decode(reply_packet(request(), begun))
+    def test_reply_without_a_kept_packet(self, result, code):
+        answer = coap.decode(reply_packet(request(), result))
         assert answer.code == code
         assert answer.mid == 7
 
-    @pytest.mark.parametrize('begun', [Answered, WasNotRun, OutcomeUnknown])
-    def test_again_as_before(self, begun):
-        assert reply_packet(request(), begun(b'kept')) == b'kept'
+    @pytest.mark.parametrize('result', [Answered, WasNotRun, OutcomeUnknown])
+    def test_kept_packet_is_sent_again(self, result):
+        assert reply_packet(request(), result(b'kept')) == b'kept'
 
-    def test_nothing_to_tell(self):
+    def test_no_reply(self):
         assert reply_packet(request(), Fresh()) is None
         assert reply_packet(request(mtype=coap.NON), Running()) is None
 
 
 class TestRequestFilters:
-    def test_malformed_export_is_refused(self):
+    def test_merge_refuses_a_filter_of_wrong_size(self):
         with pytest.raises(WireError):
             RequestFilters(247).merge(1, b'short', now=0)
