--- a/redwingstream/storage/__init__.py
+++ b/redwingstream/storage/__init__.py
@@ -1,13 +1,13 @@
-"""Durable state of a control instance: a synced log and snapshots.
+"""Durable state of a control instance: a journal and snapshots.
 
 Modules
 -------
 folder
-    The few file operations that the rest needs, so that tests replace them.
+    Interface of the file operations, which tests replace by a fake.
 disk
-    These operations on a real data folder.
+    File operations on a real data folder.
 records
-    Checksummed records, how they are read back and where damage stands.
+    Encoding of checksummed records, and detection of damage.
 store
-    Identity, term, vote, entries and snapshot of a replica.
+    Identity, term, vote, log entries and snapshot of a replica.
 """
--- a/redwingstream/storage/disk.py
+++ b/redwingstream/storage/disk.py
@@ -15,82 +15,82 @@
 _FULL_ERRORS = frozenset((errno.ENOSPC, errno.EDQUOT))
 
 
-SyncNoted = Callable[[float], None]
+SyncCallback = Callable[[float], None]
 
 
-def _not_noted(seconds: float) -> None:
-    """Leave the time of a sync alone."""
+def _ignore_sync(seconds: float) -> None:
+    """Ignore the duration of a sync."""
 
 
 class DiskFolder:
-    """A data folder; see :class:`redwingstream.storage.folder.Folder`.
+    """Data folder on disk; see :class:`redwingstream.storage.folder.Folder`.
 
     Parameters
     ----------
     path : Path
-        Existing folder; :func:`open_folder` makes and locks it.
-    sync_noted : callable
-        Takes how many seconds each sync of a file took.
+        Existing folder; :func:`open_folder` creates and locks it.
+    on_sync : callable
+        Called with the duration of each sync of a file in seconds.
 
     Notes
     -----
-    The file that was appended to last stays open, since opening it for each
-    record would double the system calls of a synced append.
+    The file that was last appended to stays open, since opening it for each
+    record would double the number of system calls of a synced append.
     """
 
-    def __init__(self, path: Path, sync_noted: SyncNoted) -> None:
+    def __init__(self, path: Path, on_sync: SyncCallback) -> None:
         self._path = path
-        self._sync_noted = sync_noted
+        self._on_sync = on_sync
         self._open_name = ''
         self._open_file = -1
 
     def read(self, name: str) -> bytes | None:
-        """Return the contents of a file, or None when there is none."""
-        with _reported(f'read {name}'):
+        """Return the contents of a file, or None if it does not exist."""
+        with _translated_errors(f'read {name}'):
             try:
                 return (self._path / name).read_bytes()
             except FileNotFoundError:
                 return None
 
     def write(self, name: str, contents: bytes) -> None:
-        """Make a file with these contents, or replace those it has."""
+        """Create a file with these contents, or overwrite it."""
         self.close()
-        with _reported(f'write {name}'):
+        with _translated_errors(f'write {name}'):
             (self._path / name).write_bytes(contents)
 
     def append(self, name: str, contents: bytes) -> None:
-        """Add to the end of a file."""
-        with _reported(f'append to {name}'):
+        """Append to a file."""
+        with _translated_errors(f'append to {name}'):
             _write_all(self._descriptor(name), contents)
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a number of bytes."""
-        with _reported(f'truncate {name}'):
+        """Truncate a file to a size in bytes."""
+        with _translated_errors(f'truncate {name}'):
             os.ftruncate(self._descriptor(name), size)
 
     def sync(self, name: str) -> None:
         """Make the contents of a file durable."""
-        begun = time.monotonic()
-        with _reported(f'sync {name}'):
+        started_at = time.monotonic()
+        with _translated_errors(f'sync {name}'):
             os.fdatasync(self._descriptor(name))
-        self._sync_noted(time.monotonic() - begun)
+        self._on_sync(time.monotonic() - started_at)
 
     def rename(self, source: str, target: str) -> None:
-        """Give a file another name; a file of that name is replaced."""
+        """Rename a file; an existing file of the new name is replaced."""
         self.close()
-        with _reported(f'rename {source}'):
+        with _translated_errors(f'rename {source}'):
             (self._path / source).replace(self._path / target)
 
-    def sync_names(self) -> None:
-        """Make new, renamed and removed names durable."""
+    def sync_directory(self) -> None:
+        """Make the creation and renaming of files durable."""
         with (
-            _reported('sync the data folder'),
+            _translated_errors('sync the data folder'),
             _open_directory(self._path) as descriptor,
         ):
             os.fsync(descriptor)
 
     def close(self) -> None:
-        """Close the file that is open, if any."""
+        """Close the open file, if any."""
         if self._open_file >= 0:
             os.close(self._open_file)
             self._open_file = -1
@@ -107,38 +107,38 @@
 
 @contextlib.contextmanager
 def open_folder(
-    path: Path, sync_noted: SyncNoted = _not_noted
+    path: Path, on_sync: SyncCallback = _ignore_sync
 ) -> Iterator[DiskFolder]:
-    """Make a data folder if there is none, lock it, and release it at the end.
+    """Create a data folder if necessary, and lock it until the context ends.
 
     Parameters
     ----------
     path : Path
         The data folder.
-    sync_noted : callable, optional
-        Takes how many seconds each sync of a file took.
+    on_sync : callable, optional
+        Called with the duration of each sync of a file in seconds.
 
     Yields
     ------
     DiskFolder
-        Its file operations.
+        File operations on the folder.
 
     Raises
     ------
     StorageError
-        When it cannot be made, or another process has it open.
+        If the folder cannot be created, or another process has locked it.
 
     Notes
     -----
-    Two processes on one folder would mix their records.  The system releases
-    the lock when its holder dies, however it dies.
+    Two processes that write to one folder would mix their records.  The
+    operating system releases the lock when its holder ends for any reason.
     """
-    with _reported(f'open {path.name}'):
+    with _translated_errors(f'open {path.name}'):
         path.mkdir(parents=True, exist_ok=True)
         lock = os.open(path / _LOCK_NAME, os.O_RDWR | os.O_CREAT, _OWNER_ONLY)
-    folder = DiskFolder(path, sync_noted)
+    folder = DiskFolder(path, on_sync)
     try:
-        _take_lock(lock, path)
+        _acquire_lock(lock, path)
         yield folder
     finally:
         folder.close()
@@ -154,7 +154,7 @@
         os.close(descriptor)
 
 
-def _take_lock(lock: int, path: Path) -> None:
+def _acquire_lock(lock: int, path: Path) -> None:
     try:
         fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError as error:
@@ -172,7 +172,7 @@
 
 
 @contextlib.contextmanager
-def _reported(action: str) -> Iterator[None]:
+def _translated_errors(action: str) -> Iterator[None]:
     try:
         yield
     except OSError as error:
--- a/redwingstream/storage/folder.py
+++ b/redwingstream/storage/folder.py
@@ -1,52 +1,52 @@
-"""The file operations that durable state needs, and nothing more."""
+"""Interface of the file operations that durable state needs."""
 
 from typing import Protocol
 
 
 class Folder(Protocol):
-    """A flat folder of files.
+    """Folder of files without subfolders.
 
     Notes
     -----
-    What is written is durable only after :meth:`sync` of the file, and a new
-    or renamed file only after :meth:`sync_names` besides.  Every method raises
+    Contents are durable only after :meth:`sync` of the file; a new or renamed
+    file also needs :meth:`sync_directory`.  Every method raises
     :class:`~redwingstream.errors.StorageError` with code ``DISK_FULL`` or
-    ``DISK_FAILED`` when the system refuses.
+    ``DISK_FAILED`` if the operating system reports an error.
     """
 
     def read(self, name: str) -> bytes | None:
-        """Return the contents of a file, or None when there is none."""
+        """Return the contents of a file, or None if it does not exist."""
 
     def write(self, name: str, contents: bytes) -> None:
-        """Make a file with these contents, or replace those it has."""
+        """Create a file with these contents, or overwrite it."""
 
     def append(self, name: str, contents: bytes) -> None:
-        """Add to the end of a file."""
+        """Append to a file."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a number of bytes."""
+        """Truncate a file to a size in bytes."""
 
     def sync(self, name: str) -> None:
         """Make the contents of a file durable."""
 
     def rename(self, source: str, target: str) -> None:
-        """Give a file another name; a file of that name is replaced."""
+        """Rename a file; an existing file of the new name is replaced."""
 
-    def sync_names(self) -> None:
-        """Make new, renamed and removed names durable."""
+    def sync_directory(self) -> None:
+        """Make the creation and renaming of files durable."""
 
 
 def replace_durably(folder: Folder, name: str, contents: bytes) -> None:
-    """Replace a file so that after a crash it is the old or the new one.
+    """Replace a file so that a crash leaves either the old or the new one.
 
     Notes
     -----
-    A crash while a file is overwritten in place would leave neither.  The new
-    contents are synced under another name before they get the real one, and
-    the folder is synced before anybody is told.
+    A crash while a file is overwritten in place could leave neither.  The new
+    contents are synced in a temporary file, which is then renamed, and the
+    directory is synced before this function returns.
     """
-    fresh = f'{name}.new'
-    folder.write(fresh, contents)
-    folder.sync(fresh)
-    folder.rename(fresh, name)
-    folder.sync_names()
+    temporary_name = f'{name}.new'
+    folder.write(temporary_name, contents)
+    folder.sync(temporary_name)
+    folder.rename(temporary_name, name)
+    folder.sync_directory()
--- a/redwingstream/storage/records.py
+++ b/redwingstream/storage/records.py
@@ -1,8 +1,8 @@
-"""Checksummed records in a file, and where its damage stands.
+"""Files of checksummed records, and detection of damage in them.
 
-A file begins with 8 bytes: a magic number and the format version.  A record
-is a marker (2 bytes), its kind (1), the length of its body (4), a CRC-32 over
-these and the body (4), and the body.
+A file starts with 8 bytes: a magic number and the format version.  A record
+consists of a marker (2 bytes), its kind (1 byte), the length of its body (4
+bytes), a CRC-32 over these and the body (4 bytes), and the body.
 """
 
 import struct
@@ -14,25 +14,26 @@
 from redwingstream.errors import ResultCode, StorageError
 
 FORMAT_VERSION = 1
+# Maximum size of the body of a record in bytes.
 MAX_BODY = 67108864
 
 _MAGIC = b'RWSTRM'
 _FILE_HEADER = struct.Struct('>6sH')
 _MARKER = b'\xa7\x5e'
 _RECORD_HEADER = struct.Struct('>2sBII')
-_UNSUMMED = struct.Struct('>2sBI')
+_CHECKSUMMED_HEADER = struct.Struct('>2sBI')
 
 
 @attrs.frozen
 class StoredRecord:
-    """A record as it stands in a file.
+    """Record of a file.
 
     Parameters
     ----------
     kind : int
-        What its body is; the user of this module numbers them.
+        Kind of its body, a number that users of this module assign.
     body : bytes
-        The contents.
+        Contents of the record.
     """
 
     kind: int
@@ -41,31 +42,31 @@
 
 @attrs.frozen
 class Scan:
-    """What was found in a file.
+    """Result of reading a file.
 
     Parameters
     ----------
     records : tuple of StoredRecord
         All records before the end or the first damage.
-    good_size : int
-        Bytes up to there.
-    damage_inside : bool
-        True when a whole record stands behind the damage.
+    valid_size : int
+        Number of bytes before the end or the first damage.
+    is_damaged_inside : bool
+        True if a valid record follows the damage.
     """
 
     records: tuple[StoredRecord, ...]
-    good_size: int
-    damage_inside: bool
+    valid_size: int
+    is_damaged_inside: bool
 
 
 def pack_file(records: Iterable[StoredRecord]) -> bytes:
-    """Return the contents of a file with these records."""
+    """Encode a file with these records."""
     header = _FILE_HEADER.pack(_MAGIC, FORMAT_VERSION)
     return b''.join((header, *map(pack_record, records)))
 
 
 def pack_record(record: StoredRecord) -> bytes:
-    """Return the bytes of one record."""
+    """Encode a record."""
     size = len(record.body)
     checksum = _checksum(record.kind, record.body)
     header = _RECORD_HEADER.pack(_MARKER, record.kind, size, checksum)
@@ -78,15 +79,15 @@
     Parameters
     ----------
     name : str
-        Name of the file, for the error text.
+        Name of the file, for error messages.
     contents : bytes
-        All of it.
+        Contents of the whole file.
 
     Raises
     ------
     StorageError
-        ``DATA_VERSION`` when another version wrote it, ``DATA_DAMAGED`` when
-        its header is not one.
+        ``DATA_VERSION`` if another version of the program wrote the file,
+        ``DATA_DAMAGED`` if its header is invalid.
     """
     _check_header(name, contents)
     records = []
@@ -103,7 +104,9 @@
     header = contents[: _FILE_HEADER.size].ljust(_FILE_HEADER.size, b'\0')
     magic, version = _FILE_HEADER.unpack(header)
     if magic != _MAGIC:
-        raise damaged(name, 'it does not begin with the header of this format')
+        raise damage_error(
+            name, 'it does not begin with the header of this format'
+        )
     if version != FORMAT_VERSION:
         raise StorageError(
             f'{name} has format version {version}; this program reads version '
@@ -112,10 +115,10 @@
         )
 
 
-def damaged(name: str, what: str) -> StorageError:
-    """Return the error for a file that cannot be trusted any more."""
+def damage_error(name: str, details: str) -> StorageError:
+    """Return the error for a damaged file."""
     return StorageError(
-        f'{name} is damaged: {what}; move the data folder of this replica '
+        f'{name} is damaged: {details}; move the data folder of this replica '
         'away and start it with an empty one: the others readmit it as a new '
         'replica. Never do so on a majority of the replicas',
         ResultCode.DATA_DAMAGED,
@@ -136,18 +139,18 @@
 
 
 def _has_record_after(contents: bytes, offset: int) -> bool:
-    # A crash damages what was written last, so nothing whole stands behind
-    # it.  A whole record behind the damage means that synced bytes changed:
-    # to cut there would forget what this replica has acknowledged.
-    found = contents.find(_MARKER, offset + 1)
-    while found >= 0:
-        if _record_at(contents, found) is not None:
+    # A crash damages only what was written last, which no valid record follows.
+    # A valid record after the damage means that synced bytes have changed:
+    # truncating the file there would drop what this replica has acknowledged.
+    marker_offset = contents.find(_MARKER, offset + 1)
+    while marker_offset >= 0:
+        if _record_at(contents, marker_offset) is not None:
             return True
-        found = contents.find(_MARKER, found + 1)
+        marker_offset = contents.find(_MARKER, marker_offset + 1)
     return False
 
 
 def _checksum(kind: int, body: bytes) -> int:
     return zlib.crc32(
-        body, zlib.crc32(_UNSUMMED.pack(_MARKER, kind, len(body)))
+        body, zlib.crc32(_CHECKSUMMED_HEADER.pack(_MARKER, kind, len(body)))
     )
--- a/redwingstream/storage/store.py
+++ b/redwingstream/storage/store.py
@@ -1,4 +1,4 @@
-"""Identity, term, vote, entries and snapshot of a replica."""
+"""Identity, term, vote, log entries and snapshot of a replica."""
 
 import enum
 import logging
@@ -14,7 +14,7 @@
 from redwingstream.storage.records import (
     Scan,
     StoredRecord,
-    damaged,
+    damage_error,
     pack_file,
     pack_record,
     scan_file,
@@ -25,11 +25,12 @@
 IDENTITY_FILE = 'identity'
 SNAPSHOT_FILE = 'snapshot'
 JOURNAL_FILE = 'journal'
+# Number of random bits in the identity of a replica.
 IDENTITY_BITS = 63
 
 
 class RecordKind(enum.IntEnum):
-    """Kinds of records; numbers never change their meaning."""
+    """Kinds of records; the meaning of a number never changes."""
 
     IDENTITY = 1
     SNAPSHOT = 2
@@ -44,18 +45,18 @@
 
 @attrs.define
 class LoadedState:
-    """What a replica remembers when it starts.
+    """Durable state of a replica, as read when it starts.
 
     Parameters
     ----------
     identity : int
-        Drawn when its data folder was made.
+        Random number, drawn when the data folder was created.
     hard_state : HardState
         Term and vote.
     snapshot : Snapshot or None
-        None until it knows its group.
+        Latest snapshot; None until the replica knows its group.
     entries : list of Entry
-        Those above the snapshot, without gaps.
+        Log entries after the snapshot, without gaps.
     """
 
     identity: int
@@ -65,54 +66,56 @@
 
 
 class ReplicaStore:
-    """Durable state in a folder.
+    """Storage of the durable state of a replica in a folder.
 
     Parameters
     ----------
     folder : Folder
-        Where the files are.
+        File operations on the data folder.
 
     Notes
     -----
-    After an error of the folder this object must not be used again: what the
-    file then holds is known only after it has been read afresh.  A failed
-    sync is never repeated, since the system may have dropped the bytes and
-    report success the next time.
+    This object must not be used after an error of the folder: the contents of
+    the file are unknown until it is read again.  A failed sync is never
+    repeated, since the operating system may have dropped the bytes and then
+    report success.
     """
 
     def __init__(self, folder: Folder) -> None:
         self._folder = folder
 
     def load(self, draw_identity: Callable[[], int]) -> LoadedState:
-        """Read what is there, or make a new replica in an empty folder.
+        """Load the state, or create a new replica in an empty folder.
 
         Parameters
         ----------
         draw_identity : callable
-            Returns a random number for a new replica.
+            Returns a random number as the identity of a new replica.
 
         Raises
         ------
         StorageError
-            ``DATA_DAMAGED``, ``DATA_MISSING`` or ``DATA_VERSION`` with a way
-            out.
+            ``DATA_DAMAGED``, ``DATA_MISSING`` or ``DATA_VERSION``; the text
+            says what to do.
         """
         contents = self._folder.read(IDENTITY_FILE)
         if contents is None:
             return self._create(draw_identity())
         loaded = LoadedState(
-            _read_whole(IDENTITY_FILE, contents, _Identity).identity
+            _read_single_record(IDENTITY_FILE, contents, _Identity).identity
         )
         snapshot = self._folder.read(SNAPSHOT_FILE)
         if snapshot is not None:
-            loaded.snapshot = _read_whole(SNAPSHOT_FILE, snapshot, Snapshot)
+            loaded.snapshot = _read_single_record(
+                SNAPSHOT_FILE, snapshot, Snapshot
+            )
         self._load_journal(loaded)
         return loaded
 
     def save(
         self, hard_state: HardState | None, entries: Iterable[Entry]
     ) -> None:
-        """Append and sync a term and vote and entries, in one write."""
+        """Append term, vote and entries in one write, and sync the journal."""
         records = _journal_records(hard_state, entries)
         self._folder.append(JOURNAL_FILE, b''.join(map(pack_record, records)))
         self._folder.sync(JOURNAL_FILE)
@@ -123,13 +126,13 @@
         hard_state: HardState,
         entries: Iterable[Entry],
     ) -> None:
-        """Store a snapshot, and a journal of only what it does not contain.
+        """Save a snapshot, and reduce the journal to what it does not contain.
 
         Notes
         -----
-        The snapshot is durable before the journal is cut.  After a crash
-        between the two the journal holds entries that the snapshot contains;
-        they are skipped when it is read.
+        The snapshot is durable before the journal is replaced.  After a crash
+        between the two, the journal has entries that the snapshot contains;
+        they are skipped when the journal is read.
         """
         record = _record(RecordKind.SNAPSHOT, snapshot)
         replace_durably(self._folder, SNAPSHOT_FILE, pack_file([record]))
@@ -139,9 +142,10 @@
     def _create(self, identity: int) -> LoadedState:
         for name in (JOURNAL_FILE, SNAPSHOT_FILE):
             if self._folder.read(name) is not None:
-                raise _missing(IDENTITY_FILE, name)
-        # The identity comes last: a crash before it leaves an empty journal,
-        # which must not look like a replica that lost its identity.
+                raise _missing_file_error(IDENTITY_FILE, name)
+        # The identity is written first.  In a crash between the two files, a
+        # journal without an identity would look like a replica whose identity
+        # was removed by hand; a missing journal is created at the next start.
         identity_record = _record(RecordKind.IDENTITY, _Identity(identity))
         replace_durably(
             self._folder, IDENTITY_FILE, pack_file([identity_record])
@@ -154,29 +158,29 @@
         contents = self._folder.read(JOURNAL_FILE)
         if contents is None:
             if loaded.snapshot is not None:
-                raise _missing(JOURNAL_FILE, SNAPSHOT_FILE)
-            # A crash between the first two files of a new replica.
+                raise _missing_file_error(JOURNAL_FILE, SNAPSHOT_FILE)
+            # The replica crashed between its first two files.
             replace_durably(self._folder, JOURNAL_FILE, pack_file([]))
             return
         scan = scan_file(JOURNAL_FILE, contents)
-        if scan.damage_inside:
-            raise damaged(
+        if scan.is_damaged_inside:
+            raise damage_error(
                 JOURNAL_FILE,
-                f'whole records stand behind byte {scan.good_size}',
+                f'whole records follow after byte {scan.valid_size}',
             )
-        self._cut_tail(scan, len(contents))
+        self._truncate_tail(scan, len(contents))
         for record in scan.records:
-            _replay(record, loaded)
+            _apply_record(record, loaded)
 
-    def _cut_tail(self, scan: Scan, size: int) -> None:
-        if scan.good_size == size:
+    def _truncate_tail(self, scan: Scan, size: int) -> None:
+        if scan.valid_size == size:
             return
         _logger.warning(
             'storage: cut %d damaged bytes from the end of %s.',
-            size - scan.good_size,
+            size - scan.valid_size,
             JOURNAL_FILE,
         )
-        self._folder.truncate(JOURNAL_FILE, scan.good_size)
+        self._folder.truncate(JOURNAL_FILE, scan.valid_size)
         self._folder.sync(JOURNAL_FILE)
 
 
@@ -193,10 +197,10 @@
     return StoredRecord(kind, msgspec.msgpack.encode(contents))
 
 
-def _read_whole(name: str, contents: bytes, wanted: type) -> object:
+def _read_single_record(name: str, contents: bytes, wanted: type) -> object:
     scan = scan_file(name, contents)
-    if len(scan.records) != 1 or scan.good_size != len(contents):
-        raise damaged(name, 'its checksum does not fit')
+    if len(scan.records) != 1 or scan.valid_size != len(contents):
+        raise damage_error(name, 'its checksum does not match')
     return _decode(name, scan.records[0], wanted)
 
 
@@ -204,34 +208,36 @@
     try:
         return msgspec.msgpack.decode(record.body, type=wanted)
     except msgspec.DecodeError as error:
-        raise damaged(name, f'a record cannot be read ({error})') from error
+        raise damage_error(
+            name, f'a record cannot be read ({error})'
+        ) from error
 
 
-def _replay(record: StoredRecord, loaded: LoadedState) -> None:
+def _apply_record(record: StoredRecord, loaded: LoadedState) -> None:
     match record.kind:
         case RecordKind.HARD_STATE:
             loaded.hard_state = _decode(JOURNAL_FILE, record, HardState)
         case RecordKind.ENTRY:
-            _replay_entry(_decode(JOURNAL_FILE, record, Entry), loaded)
+            _apply_entry(_decode(JOURNAL_FILE, record, Entry), loaded)
         case _:
-            raise damaged(JOURNAL_FILE, f'kind {record.kind} is unknown')
+            raise damage_error(JOURNAL_FILE, f'kind {record.kind} is unknown')
 
 
-def _replay_entry(entry: Entry, loaded: LoadedState) -> None:
+def _apply_entry(entry: Entry, loaded: LoadedState) -> None:
     base = 0 if loaded.snapshot is None else loaded.snapshot.index
     kept = entry.index - base - 1
     if kept < 0:
         return
     if kept > len(loaded.entries):
-        raise damaged(
+        raise damage_error(
             JOURNAL_FILE, f'entries before index {entry.index} are missing'
         )
     loaded.entries = [*loaded.entries[:kept], entry]
 
 
-def _missing(name: str, present: str) -> StorageError:
+def _missing_file_error(name: str, existing: str) -> StorageError:
     return StorageError(
-        f'{name} is missing beside {present}: files were removed by hand; '
+        f'{name} is missing beside {existing}: files were removed by hand; '
         'put them back, or start this replica with an empty data folder',
         ResultCode.DATA_MISSING,
     )
--- a/redwingstream/storage/tests/fakes.py
+++ b/redwingstream/storage/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A folder in memory that keeps only what was synced."""
+"""Folder in memory that simulates crashes and failures of a disk."""
 
 import random
 
@@ -10,28 +10,37 @@
 
 
 class PowerCutError(Exception):
-    """The machine stops at this very operation."""
+    """The power fails at this file operation."""
 
 
 @attrs.define
 class FakeFile:
-    """Contents as written, and how many bytes of them are synced."""
+    """Contents of a file, as written and as last synced."""
 
     contents: bytes = b''
     synced: bytes = b''
 
 
 class FakeFolder:
-    """A folder whose unsynced bytes and names a crash may drop or tear.
+    """Folder whose unsynced contents and names may be lost in a crash.
 
     Parameters
     ----------
-    chance : random.Random
-        Decides what a crash leaves of unsynced bytes.
+    rng : random.Random
+        Decides which unsynced bytes and names are left after a crash.
+
+    Attributes
+    ----------
+    operations_left : int or None
+        Number of operations until the power fails; None for never.
+    failure : ResultCode or None
+        Code of the error that every operation raises; None for no errors.
+    appended_bytes : int
+        Number of bytes appended so far.
     """
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
         self._file_by_name: dict[str, FakeFile] = {}
         self._synced_by_name: dict[str, FakeFile] = {}
         self.operations_left: int | None = None
@@ -39,17 +48,17 @@
         self.appended_bytes = 0
 
     def read(self, name: str) -> bytes | None:
-        """Return the contents of a file, or None when there is none."""
+        """Return the contents of a file, or None if it does not exist."""
         found = self._file_by_name.get(name)
         return None if found is None else found.contents
 
     def write(self, name: str, contents: bytes) -> None:
-        """Make a file with these contents."""
+        """Create a file with these contents."""
         self._operate()
         self._file_by_name[name] = FakeFile(contents)
 
     def append(self, name: str, contents: bytes) -> None:
-        """Add to the end of a file; a full disk takes half of it."""
+        """Append to a file; half is written if the operation fails."""
         file = self._file_by_name.setdefault(name, FakeFile())
         self.appended_bytes += len(contents)
         try:
@@ -60,7 +69,7 @@
         file.contents += contents
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file."""
+        """Truncate a file."""
         self._operate()
         file = self._file_by_name[name]
         file.contents = file.contents[:size]
@@ -72,36 +81,36 @@
         file.synced = file.contents
 
     def rename(self, source: str, target: str) -> None:
-        """Give a file another name."""
+        """Rename a file."""
         self._operate()
         self._file_by_name[target] = self._file_by_name.pop(source)
 
-    def sync_names(self) -> None:
-        """Make names durable."""
+    def sync_directory(self) -> None:
+        """Make the names of files durable."""
         self._operate()
         self._synced_by_name = dict(self._file_by_name)
 
     def crash(self) -> None:
-        """Go back to what a power cut leaves."""
+        """Restore what is left after a power cut."""
         self.operations_left = None
         self.failure = None
-        if self._chance.getrandbits(1):
+        if self._rng.getrandbits(1):
             self._file_by_name = dict(self._synced_by_name)
         self._synced_by_name = dict(self._file_by_name)
         for file in self._file_by_name.values():
-            file.contents = self._left_of(file)
+            file.contents = self._contents_after_crash(file)
             file.synced = file.contents
 
     def corrupt(self, name: str, offset: int) -> None:
         """Flip the bits of one synced byte."""
         file = self._file_by_name[name]
-        broken = bytearray(file.contents)
-        broken[offset] ^= FLIPPED_BITS
-        file.contents = bytes(broken)
+        corrupted = bytearray(file.contents)
+        corrupted[offset] ^= FLIPPED_BITS
+        file.contents = bytes(corrupted)
         file.synced = file.contents
 
     def remove(self, name: str) -> None:
-        """Remove a file, as somebody might by hand."""
+        """Remove a file, as an operator might do by hand."""
         self._file_by_name.pop(name)
         self._synced_by_name.pop(name, None)
 
@@ -114,14 +123,14 @@
             raise PowerCutError
         self.operations_left -= 1
 
-    def _left_of(self, file: FakeFile) -> bytes:
+    def _contents_after_crash(self, file: FakeFile) -> bytes:
         if not file.contents.startswith(file.synced):
-            # A cut that was not synced: the longer file comes back.
+            # The file was truncated without a sync: the longer one comes back.
             return file.synced
         unsynced = file.contents[len(file.synced) :]
-        left = unsynced[: self._chance.randint(0, len(unsynced))]
-        if left and self._chance.getrandbits(1):
-            # Sectors reach the disk in any order: the size has grown, the
-            # bytes are not there.
+        left = unsynced[: self._rng.randint(0, len(unsynced))]
+        if left and self._rng.getrandbits(1):
+            # Sectors are written in any order: the size of the file may be
+            # updated before its contents.
             left = bytes(len(left))
         return file.synced + left
--- a/redwingstream/storage/tests/test_store.py
+++ b/redwingstream/storage/tests/test_store.py
@@ -1,4 +1,4 @@
-"""What a replica remembers after crashes, damage and full disks."""
+"""Durable state of a replica after crashes, damage and full disks."""
 
 import random
 from collections.abc import Iterator
@@ -25,12 +25,12 @@
 
 
 def make_entry(index: int, term: int = 1) -> Entry:
-    """Return an entry with a body of its own."""
+    """Return an entry whose body depends on its index."""
     return Entry(index, term, 18, b'body %d' % index)
 
 
 def make_folder(seed: int = 0) -> FakeFolder:
-    """Return a folder in which a replica has three synced entries."""
+    """Return a folder of a replica with three synced entries."""
     folder = FakeFolder(random.Random(seed))
     store = ReplicaStore(folder)
     store.load(lambda: IDENTITY)
@@ -38,8 +38,8 @@
     return folder
 
 
-def write_on(store: ReplicaStore) -> Iterator[int]:
-    """Write more, and yield the index up to which all is saved."""
+def write_more(store: ReplicaStore) -> Iterator[int]:
+    """Save more, and yield the index of the last saved entry."""
     store.save(None, [make_entry(4)])
     yield 4
     snapshot = Snapshot(2, 1, GROUP, b'state')
@@ -50,32 +50,32 @@
 
 
 def load(folder: FakeFolder) -> LoadedState:
-    """Read a folder as a replica does when it starts."""
+    """Load the state from a folder, as a replica does when it starts."""
     return ReplicaStore(folder).load(lambda: IDENTITY + 1)
 
 
-def code_of(folder: FakeFolder) -> ResultCode:
-    """Return the code with which a start is refused."""
+def error_code_of_load(folder: FakeFolder) -> ResultCode:
+    """Return the code of the error with which loading fails."""
     with pytest.raises(StorageError) as caught:
         load(folder)
     return caught.value.code
 
 
 class TestStore:
-    """Term, vote, entries and snapshot come back as they were."""
+    """Term, vote, entries and snapshot are loaded as they were saved."""
 
-    def test_returns_what_was_saved(self) -> None:
+    def test_loads_what_was_saved(self) -> None:
         loaded = load(make_folder())
         assert loaded.identity == IDENTITY
         assert loaded.hard_state == HardState(3, 'a')
         assert loaded.entries == [make_entry(index) for index in (1, 2, 3)]
 
-    def test_an_entry_replaces_all_from_its_index_on(self) -> None:
+    def test_entry_replaces_all_entries_from_its_index_on(self) -> None:
         folder = make_folder()
         ReplicaStore(folder).save(None, [make_entry(2, term=4)])
         assert load(folder).entries == [make_entry(1), make_entry(2, term=4)]
 
-    def test_a_snapshot_replaces_entries(self) -> None:
+    def test_snapshot_replaces_entries(self) -> None:
         folder = make_folder()
         snapshot = Snapshot(2, 1, GROUP, b'state')
         ReplicaStore(folder).save_snapshot(
@@ -85,7 +85,7 @@
         assert loaded.snapshot == snapshot
         assert loaded.entries == [make_entry(3)]
 
-    def test_an_empty_folder_gets_a_new_identity(self) -> None:
+    def test_empty_folder_gets_a_new_identity(self) -> None:
         folder = FakeFolder(random.Random(0))
         assert load(folder).identity == IDENTITY + 1
         folder.crash()
@@ -93,23 +93,23 @@
 
 
 class TestCrash:
-    """A power cut at any file operation."""
+    """Power cuts at any file operation."""
 
     @given(st.integers(0, 2**32), st.integers(0, 12))
     def test_keeps_what_was_synced(self, seed: int, operations: int) -> None:
-        """A change that was answered with yes would be gone.
+        """An acknowledged change must not be lost.
 
-        The replica syncs three entries and says so; then it writes a fourth,
-        takes a snapshot and writes a fifth, and the power goes at one of the
-        file operations.  Cause of a loss would be a file that was replaced
-        before its new contents were synced.
+        The replica syncs three entries and acknowledges them; then it writes a
+        fourth one, a snapshot and a fifth one, and the power fails at one of
+        the file operations.  Entries would be lost if a file were replaced
+        before its new contents are synced.
         """
         folder = make_folder(seed)
         store = ReplicaStore(folder)
         folder.operations_left = operations
         saved = 3
         try:
-            for saved in write_on(store):
+            for saved in write_more(store):
                 assert saved > 3
         except PowerCutError:
             folder.crash()
@@ -123,14 +123,14 @@
             assert entry == make_entry(entry.index)
 
     @given(st.integers(0, 2**32), st.integers(0, 8))
-    def test_a_first_start_can_be_repeated(
+    def test_first_start_can_be_repeated(
         self, seed: int, operations: int
     ) -> None:
-        """A new instance would never start again.
+        """A new instance must start after a crash in its first start.
 
-        The power goes while the first files are made; the next start finds
-        some of them.  Cause would be an order of writes in which a new
-        replica looks like one whose files were removed by hand.
+        The power fails while the first files are created, and the next start
+        finds some of them.  The order of writes must be such that a new replica
+        does not look like one whose files were removed by hand.
         """
         folder = FakeFolder(random.Random(seed))
         folder.operations_left = operations
@@ -143,13 +143,13 @@
 
 
 class TestDamage:
-    """Bytes that are not what was written."""
+    """Files whose contents differ from what was written."""
 
-    def test_cuts_a_torn_tail(self) -> None:
-        """A replica would not start after a power cut.
+    def test_truncates_an_incomplete_tail(self) -> None:
+        """A replica must start after a power cut.
 
-        The power goes while a record is written; half of it reaches the disk.
-        Nobody was told of it, so it can be cut.
+        The power fails while a record is written, and half of it reaches the
+        disk.  The record was not acknowledged, so it can be removed.
         """
         folder = make_folder()
         whole = folder.read(JOURNAL_FILE)
@@ -159,11 +159,11 @@
 
     @given(st.data())
     def test_refuses_damage_before_the_tail(self, data: st.DataObject) -> None:
-        """Accepted changes would vanish without a word.
+        """Accepted changes must not be lost silently.
 
-        The disk returns other bytes than were synced, in front of records
-        that are whole.  Cutting there would drop entries that this replica
-        has acknowledged; so it stops and says what to do.
+        The disk returns other bytes than were synced, before valid records.
+        Truncating there would drop entries that this replica has acknowledged,
+        so it stops with an error that says what to do.
         """
         folder = make_folder()
         size = len(folder.read(JOURNAL_FILE))
@@ -175,17 +175,17 @@
         assert caught.value.code is ResultCode.DATA_DAMAGED
 
     @pytest.mark.parametrize('name', [IDENTITY_FILE, SNAPSHOT_FILE])
-    def test_refuses_a_damaged_whole_file(self, name: str) -> None:
+    def test_refuses_a_damaged_file_of_one_record(self, name: str) -> None:
         folder = make_folder()
         snapshot = Snapshot(3, 1, GROUP, b'state')
         ReplicaStore(folder).save_snapshot(snapshot, HardState(3), [])
         folder.corrupt(name, len(folder.read(name)) - 1)
-        assert code_of(folder) is ResultCode.DATA_DAMAGED
+        assert error_code_of_load(folder) is ResultCode.DATA_DAMAGED
 
     def test_refuses_another_version(self) -> None:
         folder = make_folder()
         folder.corrupt(JOURNAL_FILE, 7)
-        assert code_of(folder) is ResultCode.DATA_VERSION
+        assert error_code_of_load(folder) is ResultCode.DATA_VERSION
 
     @pytest.mark.parametrize('name', [IDENTITY_FILE, JOURNAL_FILE])
     def test_refuses_a_folder_with_a_file_missing(self, name: str) -> None:
@@ -193,13 +193,13 @@
         snapshot = Snapshot(3, 1, GROUP, b'state')
         ReplicaStore(folder).save_snapshot(snapshot, HardState(3), [])
         folder.remove(name)
-        assert code_of(folder) is ResultCode.DATA_MISSING
+        assert error_code_of_load(folder) is ResultCode.DATA_MISSING
 
-    def test_a_full_disk_is_named_and_loses_nothing(self) -> None:
-        """A full disk would leave half a record that hides later ones.
+    def test_full_disk_is_reported_and_loses_nothing(self) -> None:
+        """Half a record on a full disk must not hide later records.
 
-        The write fails with half of the record on the disk; the replica
-        stops.  After space is made it starts again and cuts the half.
+        The write fails with half of the record on the disk, and the replica
+        stops.  When there is space again, it starts and removes that half.
         """
         folder = make_folder()
         folder.failure = ResultCode.DISK_FULL
@@ -211,7 +211,7 @@
 
 
 class TestDiskFolder:
-    """The same operations on real files."""
+    """File operations on a real folder."""
 
     def test_keeps_what_was_saved(self, tmp_path) -> None:
         with open_folder(tmp_path / 'data') as folder:
