--- a/redwingstream/requests/__init__.py
+++ b/redwingstream/requests/__init__.py
@@ -1,7 +1,9 @@
 """At-most-once execution of non-idempotent requests.
 
 A ledger records each request before it runs.  A replay (a packet that repeats a
-request) gets the recorded answer and never causes a second run.
+request) gets the recorded answer and never causes a second run.  The ledger of
+the home, the agent that owns the bucket of the flow, is replicated to the heir,
+which takes over if the home fails.
 
 Modules
 -------
--- a/redwingstream/requests/ledger.py
+++ b/redwingstream/requests/ledger.py
@@ -144,7 +144,7 @@
 
         Returns
         -------
-        Begun
+        BeginResult
             What is known of the request.  It may only be run if it is
             :class:`Fresh`, and only once it is recorded.
         """
@@ -256,7 +256,7 @@
         bucket : int
             Bucket of the entries.
         entries : iterable of LedgerEntry
-            In any order; merging an entry repeatedly has no further effect.
+            Entries in any order and any number of times.
         now : float
             Current time in seconds, by the event loop's clock.
         """
--- a/redwingstream/requests/outcomes.py
+++ b/redwingstream/requests/outcomes.py
@@ -22,7 +22,7 @@
     Parameters
     ----------
     reason : ResultCode
-        Reason.
+        Code of the reason.
     retry_after : int
         Seconds after which the caller may try again.
     """
@@ -38,7 +38,7 @@
     Parameters
     ----------
     reason : ResultCode
-        Reason; by default that the outcome is not known.
+        Code of the reason; by default that the outcome is not known.
     """
 
     reason: ResultCode = ResultCode.OUTCOME_UNKNOWN
--- a/redwingstream/requests/store.py
+++ b/redwingstream/requests/store.py
@@ -12,9 +12,9 @@
 )
 from redwingstream.requests.slots import ANSWER_LIMIT, Identity, Slot
 from redwingstream.requests.states import (
-    supersedes,
     is_contradiction,
     is_outcome_known,
+    supersedes,
 )
 
 
--- a/redwingstream/storage/disk.py
+++ b/redwingstream/storage/disk.py
@@ -82,7 +82,7 @@
             (self._path / source).replace(self._path / target)
 
     def sync_directory(self) -> None:
-        """Make the creation and renaming of files durable."""
+        """Make the creation, renaming and removal of files durable."""
         with (
             _translated_errors('sync the data folder'),
             _open_directory(self._path) as descriptor,
--- a/redwingstream/storage/folder.py
+++ b/redwingstream/storage/folder.py
@@ -33,7 +33,7 @@
         """Rename a file; an existing file of the new name is replaced."""
 
     def sync_directory(self) -> None:
-        """Make the creation and renaming of files durable."""
+        """Make the creation, renaming and removal of files durable."""
 
 
 def replace_durably(folder: Folder, name: str, contents: bytes) -> None:
--- a/redwingstream/tables/machine/__init__.py
+++ b/redwingstream/tables/machine/__init__.py
@@ -9,7 +9,7 @@
     Commands in log entries, besides changes by operators.
 state
     The replicated state and its serialization.
-machine
+state_machine
     Application of log entries in order.
 changes, checks
     Changes by operators: conflicts, retries, validation of rows and detection
@@ -18,6 +18,6 @@
     Replacement of the whole configuration.
 members, views
     Admission and removal of members, and the views computed from them.
-deltas
+recent_changes
     Rows that recent revisions changed.
 """
--- a/redwingstream/tables/routing.py
+++ b/redwingstream/tables/routing.py
@@ -52,9 +52,9 @@
                 candidate
             )
         self._default_by_service = {
-            service: of_service[0].route
-            for service, of_service in self._candidates_by_service.items()
-            if of_service[0].route.callers == ANY_CALLER
+            service: matching[0].route
+            for service, matching in self._candidates_by_service.items()
+            if matching[0].route.callers == ANY_CALLER
         }
         cached = functools.lru_cache(maxsize=_MAX_CACHED_LOOKUPS)
         self._find_by_host = cached(self._find)
--- a/redwingstream/tables/tests/test_history.py
+++ b/redwingstream/tables/tests/test_history.py
@@ -92,7 +92,7 @@
 
     def test_a_row_set_after_its_removal_is_present(self) -> None:
         pool = Pool('maps', ('*',))
-        gone = TablesUpdate(1, 2, removed=(RowName(Table.POOL, 'maps'),))
-        back = TablesUpdate(2, 3, pools=(pool,))
-        composed = merge_updates(1, (gone, back))
-        assert composed == TablesUpdate(1, 3, pools=(pool,))
+        removal = TablesUpdate(1, 2, removed=(RowName(Table.POOL, 'maps'),))
+        addition = TablesUpdate(2, 3, pools=(pool,))
+        merged = merge_updates(1, (removal, addition))
+        assert merged == TablesUpdate(1, 3, pools=(pool,))
--- a/redwingstream/tables/tests/test_machine.py
+++ b/redwingstream/tables/tests/test_machine.py
@@ -54,10 +54,10 @@
 ZONE_OUT = SetZone(ZoneMark('carse', out=True))
 MANY_ROWS = 20000
 MAX_ANSWER_SECONDS = 1.0
-"""Maximum seconds to make the answer, with reserve for a busy computer."""
+"""Maximum seconds to make the answer; enough on a busy computer, too."""
 
 
-class Bench:
+class Harness:
     """State machine to which a test applies one command after the other."""
 
     def __init__(self) -> None:
@@ -107,9 +107,9 @@
 
 
 @pytest.fixture
-def bench() -> Bench:
+def harness() -> Harness:
     """A state machine with a pool in use and two agents."""
-    created = Bench()
+    created = Harness()
     created.change(Edits(set_pools=(POOL,), set_routes=(ROUTE,)))
     created.admit('sward-1')
     created.admit('sward-2', zone='angus-glens')
@@ -120,7 +120,7 @@
     """Concurrent changes by operators, and retries of changes."""
 
     def test_second_change_based_on_the_same_revision_conflicts(
-        self, bench: Bench
+        self, harness: Harness
     ) -> None:
         """A change by one operator must not silently undo another's.
 
@@ -129,14 +129,14 @@
         """
         first = ChangeRequest('first', 1, Edits(set_zones=(ZONE_OUT,)))
         second = ChangeRequest('second', 1, Edits(set_pools=(POOL,)))
-        accepted = bench.apply(first)
-        refused = bench.apply(second)
-        assert accepted == ChangeAnswer(ResultCode.OK, '', bench.index - 1)
+        accepted = harness.apply(first)
+        refused = harness.apply(second)
+        assert accepted == ChangeAnswer(ResultCode.OK, '', harness.index - 1)
         assert refused.code == ResultCode.CONFLICT
         assert refused.revision == accepted.revision
         assert str(accepted.revision) in refused.text
 
-    def test_retry_gets_the_first_answer(self, bench: Bench) -> None:
+    def test_retry_gets_the_first_answer(self, harness: Harness) -> None:
         """A retry must not be reported as a conflict with its own change.
 
         The answer to an accepted change is lost; another change is accepted
@@ -144,24 +144,24 @@
         sends the same request again.
         """
         request = ChangeRequest('first', 1, Edits(set_zones=(ZONE_OUT,)))
-        answer = bench.apply(request)
-        bench.change(Edits(set_pools=(SetPool(Pool('x', ())),)))
-        restarted = Bench()
-        restarted.index = bench.index
-        restarted.machine.load(bench.machine.pack())
+        answer = harness.apply(request)
+        harness.change(Edits(set_pools=(SetPool(Pool('x', ())),)))
+        restarted = Harness()
+        restarted.index = harness.index
+        restarted.machine.load(harness.machine.pack())
         before = restarted.machine.pack()
         assert restarted.apply(request) == answer
         assert restarted.machine.pack() == before
 
     def test_another_change_with_a_used_request_id_is_refused(
-        self, bench: Bench
+        self, harness: Harness
     ) -> None:
-        bench.apply(ChangeRequest('r', 1, Edits(set_zones=(ZONE_OUT,))))
-        answer = bench.apply(ChangeRequest('r', 1, Edits()))
+        harness.apply(ChangeRequest('r', 1, Edits(set_zones=(ZONE_OUT,))))
+        answer = harness.apply(ChangeRequest('r', 1, Edits()))
         assert answer.code == ResultCode.REQUEST_ID_REUSED
 
     def test_retry_after_eviction_of_the_answer_changes_nothing(
-        self, bench: Bench
+        self, harness: Harness
     ) -> None:
         """An old change must not be applied a second time.
 
@@ -169,13 +169,13 @@
         evicted; then a delayed copy of it arrives.
         """
         request = ChangeRequest('old', 1, Edits(set_zones=(ZONE_OUT,)))
-        bench.apply(request)
+        harness.apply(request)
         back = SetZone(ZoneMark('carse', out=False))
-        bench.change(Edits(set_zones=(back,)))
+        harness.change(Edits(set_zones=(back,)))
         for number in range(MAX_ANSWERS):
-            bench.apply(ChangeRequest(f'x{number}', 0, Edits()))
-        assert bench.apply(request).code == ResultCode.CONFLICT
-        assert not bench.machine.tables.is_zone_out('carse')
+            harness.apply(ChangeRequest(f'x{number}', 0, Edits()))
+        assert harness.apply(request).code == ResultCode.CONFLICT
+        assert not harness.machine.tables.is_zone_out('carse')
 
     @pytest.mark.parametrize(
         ('edits', 'expected_text'),
@@ -206,20 +206,20 @@
         ],
     )
     def test_bad_row_is_refused_even_if_forced(
-        self, bench: Bench, edits: Edits, expected_text: str
+        self, harness: Harness, edits: Edits, expected_text: str
     ) -> None:
-        before = bench.machine.tables
-        answer = bench.change(edits, force=True)
+        before = harness.machine.tables
+        answer = harness.change(edits, force=True)
         assert answer.code == ResultCode.BAD_ROW
         assert expected_text in answer.text
-        assert bench.machine.tables == before
+        assert harness.machine.tables == before
 
-    def test_refusal_names_the_unknown_row(self, bench: Bench) -> None:
+    def test_refusal_names_the_unknown_row(self, harness: Harness) -> None:
         for edits in (
             Edits(remove=(RemoveRow(RowName(Table.ROUTE, 'nowhere')),)),
             Edits(drain=(DrainMember('nowhere', draining=True),)),
         ):
-            answer = bench.change(edits)
+            answer = harness.change(edits)
             assert answer.code == ResultCode.UNKNOWN_ROW
             assert 'nowhere' in answer.text
 
@@ -234,7 +234,7 @@
         ],
     )
     def test_route_that_matches_no_packet_is_refused(
-        self, bench: Bench, service: str, callers: str, expected_text: str
+        self, harness: Harness, service: str, callers: str, expected_text: str
     ) -> None:
         """Two balancers must not route the same caller to different pools.
 
@@ -244,14 +244,16 @@
         or has another IP version than its callers would match no packet.
         """
         route = SetRoute(Route(service, 'sward-live', callers))
-        answer = bench.change(Edits(set_routes=(route,)), force=True)
+        answer = harness.change(Edits(set_routes=(route,)), force=True)
         assert answer.code == ResultCode.BAD_ROW
         assert expected_text in answer.text
 
-    def test_route_to_a_missing_pool_needs_force(self, bench: Bench) -> None:
+    def test_route_to_a_missing_pool_needs_force(
+        self, harness: Harness
+    ) -> None:
         route = SetRoute(Route('10.0.0.2:1', 'later'))
-        refused = bench.change(Edits(set_routes=(route,)))
-        forced = bench.change(Edits(set_routes=(route,)), force=True)
+        refused = harness.change(Edits(set_routes=(route,)))
+        forced = harness.change(Edits(set_routes=(route,)), force=True)
         assert refused.code == ResultCode.MISSING_POOL
         assert forced.code == ResultCode.OK
         assert "'later'" in forced.warnings[0]
@@ -275,77 +277,79 @@
         ],
     )
     def test_emptying_a_pool_in_use_needs_force(
-        self, bench: Bench, edits: Edits
+        self, harness: Harness, edits: Edits
     ) -> None:
-        refused = bench.change(edits)
+        refused = harness.change(edits)
         assert refused.code == ResultCode.POOL_IN_USE
-        assert bench.hosts() == ['sward-1', 'sward-2']
-        forced = bench.change(edits, force=True)
+        assert harness.hosts() == ['sward-1', 'sward-2']
+        forced = harness.change(edits, force=True)
         assert forced.code == ResultCode.OK
         assert "'sward-live'" in forced.warnings[0]
-        assert bench.hosts() == []
+        assert harness.hosts() == []
 
-    def test_removing_a_pool_in_use_needs_force(self, bench: Bench) -> None:
+    def test_removing_a_pool_in_use_needs_force(self, harness: Harness) -> None:
         edits = Edits(remove=(RemoveRow(RowName(Table.POOL, 'sward-live')),))
-        assert bench.change(edits).code == ResultCode.MISSING_POOL
-        assert len(bench.change(edits, force=True).warnings) == 2
+        assert harness.change(edits).code == ResultCode.MISSING_POOL
+        assert len(harness.change(edits, force=True).warnings) == 2
 
 
 class TestMembers:
     """Runs of processes, and the views computed from them."""
 
-    def test_the_same_run_keeps_its_incarnation(self, bench: Bench) -> None:
-        first = bench.member('sward-1')
-        revision = bench.machine.tables.revision
-        assert bench.admit('sward-1') == first
-        assert bench.machine.tables.revision == revision
+    def test_the_same_run_keeps_its_incarnation(self, harness: Harness) -> None:
+        first = harness.member('sward-1')
+        revision = harness.machine.tables.revision
+        assert harness.admit('sward-1') == first
+        assert harness.machine.tables.revision == revision
 
-    def test_another_run_gets_a_higher_incarnation(self, bench: Bench) -> None:
-        first = bench.member('sward-1')
-        second = bench.admit('sward-1', boot=2)
+    def test_another_run_gets_a_higher_incarnation(
+        self, harness: Harness
+    ) -> None:
+        first = harness.member('sward-1')
+        second = harness.admit('sward-1', boot=2)
         assert second.incarnation > first.incarnation
-        bench.apply(RemoveMember('sward-1', first.incarnation))
-        assert 'sward-1' in bench.machine.tables.member_by_host
+        harness.apply(RemoveMember('sward-1', first.incarnation))
+        assert 'sward-1' in harness.machine.tables.member_by_host
 
     def test_host_that_the_pool_does_not_admit_is_in_no_view(
-        self, bench: Bench
+        self, harness: Harness
     ) -> None:
-        member = bench.admit('cover-1')
-        assert 'cover-1' not in bench.hosts()
-        assert 'sward-*' in exclusion_reason(bench.machine.state, member)
+        member = harness.admit('cover-1')
+        assert 'cover-1' not in harness.hosts()
+        assert 'sward-*' in exclusion_reason(harness.machine.state, member)
 
     def test_draining_member_leaves_the_view_and_stays_a_member(
-        self, bench: Bench
+        self, harness: Harness
     ) -> None:
-        member = bench.member('sward-1')
-        bench.apply(LeaveMember('sward-1', member.incarnation))
-        assert bench.hosts() == ['sward-2']
-        assert bench.member('sward-1').draining
+        member = harness.member('sward-1')
+        harness.apply(LeaveMember('sward-1', member.incarnation))
+        assert harness.hosts() == ['sward-2']
+        assert harness.member('sward-1').draining
 
     def test_members_of_a_zone_out_of_service_leave_the_view(
-        self, bench: Bench
+        self, harness: Harness
     ) -> None:
-        bench.change(Edits(set_zones=(ZONE_OUT,)))
-        assert bench.hosts() == ['sward-2']
+        harness.change(Edits(set_zones=(ZONE_OUT,)))
+        assert harness.hosts() == ['sward-2']
 
-    def test_only_the_newest_view_is_settled(self, bench: Bench) -> None:
+    def test_only_the_newest_view_is_settled(self, harness: Harness) -> None:
         """A bucket must not be served without asking for its records.
 
         A view is reported as settled while the next one is being committed;
         the unsettled views of the newer one must stay.
         """
-        number = bench.view().number
-        bench.admit('sward-3')
-        bench.apply(SettleView('sward-live', number))
-        assert bench.unsettled_numbers()[0] == number
-        newest = bench.view().number
-        bench.apply(SettleView('sward-live', newest))
-        assert bench.unsettled_numbers() == []
-        view = bench.view()
+        number = harness.view().number
+        harness.admit('sward-3')
+        harness.apply(SettleView('sward-live', number))
+        assert harness.unsettled_numbers()[0] == number
+        newest = harness.view().number
+        harness.apply(SettleView('sward-live', newest))
+        assert harness.unsettled_numbers() == []
+        view = harness.view()
         assert view.number == newest
 
     def test_long_chain_ends_in_a_view_without_members(
-        self, bench: Bench
+        self, harness: Harness
     ) -> None:
         """A request must not run a second time.
 
@@ -354,8 +358,8 @@
         treat a replay of a request recorded in that view as a new request.
         """
         for boot in range(2, 2 * MAX_UNSETTLED_VIEWS):
-            bench.admit('sward-1', boot=boot)
-        view = bench.view()
+            harness.admit('sward-1', boot=boot)
+        view = harness.view()
         assert len(view.unsettled) == MAX_UNSETTLED_VIEWS
         latest = view.members[0].incarnation
         keeper = BucketKeeper('sward-1', latest, view.pool, MemoryStore(), 247)
@@ -369,7 +373,7 @@
 
     @pytest.mark.parametrize('is_removed', [False, True])
     def test_a_new_run_of_a_drained_host_drains(
-        self, bench: Bench, is_removed: bool
+        self, harness: Harness, is_removed: bool
     ) -> None:
         """A server under repair must not get traffic again.
 
@@ -378,76 +382,76 @@
         only in the row of the former run, the accepted change would be undone.
         """
         mark = DrainMember('sward-1', draining=True)
-        bench.change(Edits(drain=(mark,)))
+        harness.change(Edits(drain=(mark,)))
         if is_removed:
-            incarnation = bench.member('sward-1').incarnation
-            bench.apply(RemoveMember('sward-1', incarnation))
-        bench.machine.load(bench.machine.pack())
-        bench.admit('sward-1', boot=2)
-        assert bench.member('sward-1').draining
-        assert bench.hosts() == ['sward-2']
+            incarnation = harness.member('sward-1').incarnation
+            harness.apply(RemoveMember('sward-1', incarnation))
+        harness.machine.load(harness.machine.pack())
+        harness.admit('sward-1', boot=2)
+        assert harness.member('sward-1').draining
+        assert harness.hosts() == ['sward-2']
 
     def test_draining_can_be_cancelled_while_the_host_is_away(
-        self, bench: Bench
+        self, harness: Harness
     ) -> None:
-        bench.change(Edits(drain=(DrainMember('sward-1', draining=True),)))
-        incarnation = bench.member('sward-1').incarnation
-        bench.apply(RemoveMember('sward-1', incarnation))
+        harness.change(Edits(drain=(DrainMember('sward-1', draining=True),)))
+        incarnation = harness.member('sward-1').incarnation
+        harness.apply(RemoveMember('sward-1', incarnation))
         cancelled = DrainMember('sward-1', draining=False)
-        answer = bench.change(Edits(drain=(cancelled,)))
+        answer = harness.change(Edits(drain=(cancelled,)))
         assert answer.code == ResultCode.OK
-        bench.admit('sward-1', boot=2)
-        assert bench.hosts() == ['sward-1', 'sward-2']
+        harness.admit('sward-1', boot=2)
+        assert harness.hosts() == ['sward-1', 'sward-2']
 
-    def test_refused_change_drains_no_host(self, bench: Bench) -> None:
+    def test_refused_change_drains_no_host(self, harness: Harness) -> None:
         marks = tuple(
-            DrainMember(host, draining=True) for host in bench.hosts()
+            DrainMember(host, draining=True) for host in harness.hosts()
         )
-        answer = bench.change(Edits(drain=marks))
+        answer = harness.change(Edits(drain=marks))
         assert answer.code == ResultCode.POOL_IN_USE
-        bench.admit('sward-1', boot=2)
-        assert not bench.member('sward-1').draining
+        harness.admit('sward-1', boot=2)
+        assert not harness.member('sward-1').draining
 
     def test_run_that_left_by_itself_does_not_drain_the_next_one(
-        self, bench: Bench
+        self, harness: Harness
     ) -> None:
-        incarnation = bench.member('sward-1').incarnation
-        bench.apply(LeaveMember('sward-1', incarnation))
-        bench.admit('sward-1', boot=2)
-        assert not bench.member('sward-1').draining
+        incarnation = harness.member('sward-1').incarnation
+        harness.apply(LeaveMember('sward-1', incarnation))
+        harness.admit('sward-1', boot=2)
+        assert not harness.member('sward-1').draining
 
 
 class TestRecentChanges:
     """Answers to processes that ask for changes."""
 
-    def test_changes_lead_to_the_same_tables(self, bench: Bench) -> None:
-        copy = Tables().updated(bench.machine.update_since(0))
-        bench.change(Edits(set_zones=(ZONE_OUT,)))
-        bench.admit('sward-3')
-        member = bench.member('sward-2')
-        bench.apply(RemoveMember('sward-2', member.incarnation))
-        update = bench.machine.update_since(copy.revision)
+    def test_changes_lead_to_the_same_tables(self, harness: Harness) -> None:
+        copy = Tables().updated(harness.machine.update_since(0))
+        harness.change(Edits(set_zones=(ZONE_OUT,)))
+        harness.admit('sward-3')
+        member = harness.member('sward-2')
+        harness.apply(RemoveMember('sward-2', member.incarnation))
+        update = harness.machine.update_since(copy.revision)
         assert update.since == copy.revision
         assert not update.pools
-        assert copy.updated(update) == bench.machine.tables
+        assert copy.updated(update) == harness.machine.tables
 
     def test_revision_that_is_too_old_gets_a_full_copy(
-        self, bench: Bench
+        self, harness: Harness
     ) -> None:
         """A process that was away for long must not miss changes.
 
         The replica restarts from a snapshot and no longer knows the changes
         before it; the process asks for changes after an earlier revision.
         """
-        copy = Tables().updated(bench.machine.update_since(0))
-        bench.change(Edits(set_zones=(ZONE_OUT,)))
-        bench.machine.load(bench.machine.pack())
-        update = bench.machine.update_since(copy.revision)
+        copy = Tables().updated(harness.machine.update_since(0))
+        harness.change(Edits(set_zones=(ZONE_OUT,)))
+        harness.machine.load(harness.machine.pack())
+        update = harness.machine.update_since(copy.revision)
         assert update.since == 0
-        assert copy.updated(update) == bench.machine.tables
+        assert copy.updated(update) == harness.machine.tables
 
     def test_process_with_a_newer_revision_gets_no_rows(
-        self, bench: Bench
+        self, harness: Harness
     ) -> None:
         """Waiting for a change to take effect must not overload the network.
 
@@ -455,13 +459,13 @@
         process that has not reached it answered with a full copy, every poll
         would transfer all tables.
         """
-        bench.change(Edits(set_zones=(ZONE_OUT,)))
-        ahead = bench.machine.tables.revision + 1
-        update = bench.machine.update_since(ahead)
+        harness.change(Edits(set_zones=(ZONE_OUT,)))
+        ahead = harness.machine.tables.revision + 1
+        update = harness.machine.update_since(ahead)
         member = TablesHistory()
-        member.apply_update(bench.machine.update_since(0))
+        member.apply_update(harness.machine.update_since(0))
         assert member.update_since(ahead) == update
-        assert update.revision == bench.machine.tables.revision
+        assert update.revision == harness.machine.tables.revision
         assert not update.zones
         assert not update.pools
 
@@ -487,12 +491,12 @@
         assert update.removed == (removed,)
 
     def test_change_without_effect_increases_the_revision(
-        self, bench: Bench
+        self, harness: Harness
     ) -> None:
         """An operator's tool must not wait forever for a change.
 
         The change sets rows to their current contents.  Its answer names a
         revision, and the tool waits until every process has reached it.
         """
-        answer = bench.change(Edits(set_pools=(POOL,)))
-        assert bench.machine.tables.revision == answer.revision
+        answer = harness.change(Edits(set_pools=(POOL,)))
+        assert harness.machine.tables.revision == answer.revision
