--- a/properties/test_ledger.py
+++ b/properties/test_ledger.py
@@ -15,7 +15,7 @@
 )
 
 from properties.seeds import seed_of
-from redwingstream.requests.begun import (
+from redwingstream.requests.begin_results import (
     Answered,
     Fresh,
     Full,
