--- a/redwingstream/operators/__init__.py
+++ b/redwingstream/operators/__init__.py
@@ -1,21 +1,27 @@
-"""The operators' side: reads and changes the tables, shows what is in force.
+"""Operators' command-line tool.
+
+It reads and changes the tables (routes, pools, zones) through the control
+instances, shows the status of all processes, and explains decisions about
+callers' traffic.
 
 Modules
 -------
 settings
-    Where the control instances are and which key to use.
+    Settings of the tool: control instances, key file, timeout.
 client
-    Finds the leader; reads, changes and asks.
+    Finds the leader; reads and changes the tables; queries processes.
 plans
-    What a file of tables would change.
+    Compares a file of tables with the current tables.
 overview
-    Members and the revision in force on each process.
+    Collects the status of all processes.
 explain
-    Where a caller's traffic goes, and why.
-rowchecks
-    Checks rows before they are sent.
-rendering, reports, columns
-    Human and JSON output.
+    Explains from the tables where a caller's traffic goes.
+flow_history
+    Reconstructs the history of one flow from event logs.
+row_checks
+    Validates rows before they are sent.
+output, status_output, columns
+    Output as text for people or as JSON.
 commands, tool
     The command line.
 """
--- a/redwingstream/operators/client.py
+++ b/redwingstream/operators/client.py
@@ -1,7 +1,8 @@
-"""Calls that operators make: finds the leader, reads, changes, asks.
+"""Client of the control instances and of the other processes.
 
-The leader is found by asking: an instance that does not lead refuses with
-``NOT_LEADER`` and names the leader in its text, as far as it knows.
+Calls that read or change the tables go to the leader of the control instances.
+An instance that does not lead refuses such a call with ``NOT_LEADER`` and, if
+it knows the leader, names it in the error text; the client then retries there.
 """
 
 import asyncio
@@ -32,13 +33,13 @@
     TablesUpdate,
 )
 
-TRY_TIMEOUT = 2.0
-"""Seconds that one control instance or process has for its answer."""
+ATTEMPT_TIMEOUT = 2.0
+"""Seconds to wait for the answer of one process in one attempt."""
 
-RETRY_PAUSE = 0.2
-"""Seconds before the next try."""
+RETRY_INTERVAL = 0.2
+"""Seconds between two attempts."""
 
-# After these the same call may succeed elsewhere or a little later.
+# The call may succeed at another control instance, or later.
 _TRANSIENT = frozenset(
     (ResultCode.NOT_LEADER, ResultCode.NO_QUORUM, ResultCode.TIMED_OUT)
 )
@@ -46,29 +47,29 @@
 AnswerT = TypeVar('AnswerT')
 
 
-class Calls(Protocol):
-    """What this module needs of a ``CallClient``."""
+class CallTransport(Protocol):
+    """The part of ``CallClient`` that this module uses."""
 
     async def call(
         self,
         endpoint: Endpoint,
         request: object,
         answer_class: type[AnswerT],
-        timeout: float = TRY_TIMEOUT,
+        timeout: float = ATTEMPT_TIMEOUT,
     ) -> AnswerT:
-        """Send one request and wait for its answer."""
+        """Send a request and wait up to ``timeout`` seconds for its answer."""
 
 
 @attrs.frozen
-class Laggard:
-    """A process that has not reached a revision.
+class LaggingProcess:
+    """A process whose tables have not reached a given revision.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Which process.
+        Endpoint of the process.
     revision : int or None
-        What it has; None when it does not answer.
+        Revision of its tables; None if it does not answer.
     """
 
     endpoint: Endpoint
@@ -80,19 +81,19 @@
 
     Parameters
     ----------
-    calls : Calls
-        Carries the calls.
+    calls : CallTransport
+        Sends the calls.
     control : sequence of Endpoint
-        The control instances of the settings.
+        Endpoints of the configured control instances.
     timeout : float
-        Seconds after which a command gives up.
+        Seconds after which a command stops retrying.
     now : callable, optional
-        Clock; the running loop's by default.
+        Clock in seconds; the running event loop's by default.
     """
 
     def __init__(
         self,
-        calls: Calls,
+        calls: CallTransport,
         control: Sequence[Endpoint],
         timeout: float,
         now: Callable[[], float] | None = None,
@@ -104,7 +105,7 @@
         self._leader = self.control[0]
 
     async def read_tables(self) -> TablesRead:
-        """Return the tables as of now, from the leader."""
+        """Return the current tables of the leader."""
         return await self._ask_leader(ReadTables(), TablesRead)
 
     async def change(
@@ -115,35 +116,37 @@
         force: bool = False,
         request_id: str = '',
     ) -> ChangeAnswer:
-        """Make a change and return at which revision it was accepted.
+        """Change the tables; the answer holds the accepted revision.
 
         Parameters
         ----------
         edits : Edits
-            What to change.
+            The changes.
         based_on : int
-            Configuration revision that the operator looked at.
+            Configuration revision that the change is based on; the change is
+            refused with ``CONFLICT`` if another one was made since.
         force : bool
-            Accept also what would harm traffic.
+            Whether to accept changes that would harm traffic.
         request_id : str, optional
-            Of an earlier attempt whose answer was lost; a fresh one by
-            default.
+            Request id of an earlier attempt whose answer was lost; a new id
+            by default.
 
         Raises
         ------
         ChangeRefusedError
-            With the reason and the current revision.
+            If the change is refused; the message names the reason and the
+            current revision.
         CallFailedError
-            When no answer came in time: the change may have been accepted.
+            If no answer arrives in time; the change may have been accepted.
 
         Notes
         -----
-        An answer can be lost after the change was accepted.  Every try of this
-        call carries the same request id, so a change that was accepted once is
-        not made again and its first answer comes back.
+        An answer can be lost after the change was accepted.  All attempts of
+        this call carry the same request id, so an accepted change is not made
+        again and its first answer is returned.
         """
-        chosen_id = request_id or uuid.uuid4().hex
-        request = ChangeRequest(chosen_id, based_on, edits, force)
+        sent_id = request_id or uuid.uuid4().hex
+        request = ChangeRequest(sent_id, based_on, edits, force)
         try:
             answer = await self._ask_leader(request, ChangeAnswer)
         except CallFailedError as error:
@@ -151,7 +154,7 @@
                 raise
             raise CallFailedError(
                 f'{error}; the change may have been accepted: repeat the '
-                f'command with --request-id {chosen_id} '
+                f'command with --request-id {sent_id} '
                 f'--based-on {based_on}',
                 error.code,
             ) from error
@@ -165,85 +168,102 @@
     async def dump(self, endpoint: Endpoint) -> str:
         """Return the state of a process as JSON text."""
         answer = await self._calls.call(
-            endpoint, DumpRequest(), DumpAnswer, self._try_timeout()
+            endpoint, DumpRequest(), DumpAnswer, self._attempt_timeout()
         )
         return answer.text
 
-    async def revision_of(self, endpoint: Endpoint, known: int) -> int:
-        """Return the revision of the tables in force on a process.
+    async def fetch_revision(self, endpoint: Endpoint, known: int) -> int:
+        """Ask a process for the revision of the tables in force on it.
 
         Parameters
         ----------
         endpoint : Endpoint
-            Which process.
+            Endpoint of the process.
         known : int
-            A revision that the operator has; it keeps the answer small.
+            A revision that the operator already has.  The answer holds only
+            later changes, which keeps it small.
         """
         update = await self._calls.call(
-            endpoint, FetchTables(known), TablesUpdate, self._try_timeout()
+            endpoint, FetchTables(known), TablesUpdate, self._attempt_timeout()
         )
         return update.revision
 
     async def wait_in_force(
         self, revision: int, endpoints: Sequence[Endpoint]
-    ) -> tuple[Laggard, ...]:
-        """Wait until processes have reached a revision.
+    ) -> tuple[LaggingProcess, ...]:
+        """Wait until processes have reached a revision, or time is up.
+
+        Parameters
+        ----------
+        revision : int
+            Configuration revision that is to be in force.
+        endpoints : sequence of Endpoint
+            Processes to wait for.
 
         Returns
         -------
-        tuple of Laggard
-            Who has not reached it in time; empty when all have.
+        tuple of LaggingProcess
+            Processes that have not reached it in time; empty if all have.
         """
-        end = self._now() + self._timeout
-        lagging = await self._laggards(revision, endpoints)
-        while lagging and self._now() < end:
-            await asyncio.sleep(RETRY_PAUSE)
-            waiting = [laggard.endpoint for laggard in lagging]
-            lagging = await self._laggards(revision, waiting)
+        deadline = self._now() + self._timeout
+        lagging = await self._lagging_processes(revision, endpoints)
+        while lagging and self._now() < deadline:
+            await asyncio.sleep(RETRY_INTERVAL)
+            waiting = [process.endpoint for process in lagging]
+            lagging = await self._lagging_processes(revision, waiting)
         return lagging
 
-    async def _laggards(
+    async def _lagging_processes(
         self, revision: int, endpoints: Sequence[Endpoint]
-    ) -> tuple[Laggard, ...]:
+    ) -> tuple[LaggingProcess, ...]:
         found = await asyncio.gather(
-            *(self._progress(endpoint, revision) for endpoint in endpoints)
+            *(
+                self._process_revision(endpoint, revision)
+                for endpoint in endpoints
+            )
         )
         return tuple(
-            laggard
-            for laggard in found
-            if laggard.revision is None or laggard.revision < revision
+            process
+            for process in found
+            if process.revision is None or process.revision < revision
         )
 
-    async def _progress(self, endpoint: Endpoint, revision: int) -> Laggard:
+    async def _process_revision(
+        self, endpoint: Endpoint, revision: int
+    ) -> LaggingProcess:
         try:
-            return Laggard(endpoint, await self.revision_of(endpoint, revision))
+            return LaggingProcess(
+                endpoint, await self.fetch_revision(endpoint, revision)
+            )
         except CallFailedError:
-            return Laggard(endpoint, None)
+            return LaggingProcess(endpoint, None)
 
     async def _ask_leader(
         self, request: object, answer_class: type[AnswerT]
     ) -> AnswerT:
-        end = self._now() + self._timeout
+        deadline = self._now() + self._timeout
         while True:
             try:
                 return await self._calls.call(
-                    self._leader, request, answer_class, self._try_timeout()
+                    self._leader, request, answer_class, self._attempt_timeout()
                 )
             except CallFailedError as error:
                 failure = error
-            if failure.code not in _TRANSIENT or self._now() >= end:
+            if failure.code not in _TRANSIENT or self._now() >= deadline:
                 raise failure
             self._leader = self._next_candidate(failure)
-            await asyncio.sleep(RETRY_PAUSE)
+            await asyncio.sleep(RETRY_INTERVAL)
 
     def _next_candidate(self, failure: CallFailedError) -> Endpoint:
-        """Return whom to ask next: the leader named, else the next instance.
+        """Return the endpoint to ask next.
 
-        An instance that was cut off may name a leader of long ago, so a leader
-        that does not answer is followed by the next instance of the settings.
+        This is the leader that the refusal names, else the next configured
+        instance.  An instance that was cut off from the others may name a
+        former leader; if that does not answer, the next configured instance is
+        asked.
         """
         if failure.code is ResultCode.NOT_LEADER:
-            named = _leader_named(str(failure))
+            named = _find_named_leader(str(failure))
             if named is not None and named != self._leader:
                 return named
         if self._leader not in self.control:
@@ -251,12 +271,12 @@
         position = self.control.index(self._leader) + 1
         return self.control[position % len(self.control)]
 
-    def _try_timeout(self) -> float:
-        return min(TRY_TIMEOUT, self._timeout)
+    def _attempt_timeout(self) -> float:
+        return min(ATTEMPT_TIMEOUT, self._timeout)
 
 
-def _leader_named(text: str) -> Endpoint | None:
-    """Return the first endpoint in a refusal, if there is one."""
+def _find_named_leader(text: str) -> Endpoint | None:
+    """Return the first endpoint in the text of a refusal, if any."""
     for word in text.split():
         with contextlib.suppress(SettingError):
             return parse_endpoint(word)
--- a/redwingstream/operators/commands/__init__.py
+++ b/redwingstream/operators/commands/__init__.py
@@ -1,15 +1,17 @@
-"""The commands of the tool, a module for each kind.
+"""Commands of the operators' tool, one module for each kind.
 
 Modules
 -------
 base
-    Settings, the client, output and result codes of every command.
+    Common to all commands: settings, client, output and result codes.
 change
-    What commands that change the tables have in common.
+    Common to all commands that change the tables.
 tables
     Commands on routes, pools and zones, and ``apply``.
 members
-    Commands on members: drain, status, dump.
+    Commands on members: drain, undrain, status, dump.
 explain
-    Where a caller's traffic goes.
+    Explains where a caller's traffic goes.
+logs
+    Shows the history of a flow from event logs.
 """
--- a/redwingstream/operators/commands/base.py
+++ b/redwingstream/operators/commands/base.py
@@ -1,4 +1,4 @@
-"""Settings, the client, output and result codes of every command."""
+"""Base class of the commands: settings, client, output and result codes."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 from redwingstream.errors import RedwingstreamError, ResultCode
 from redwingstream.keyfile import read_key_file
 from redwingstream.operators.client import ControlClient
-from redwingstream.operators.rendering import json_text
+from redwingstream.operators.output import json_text
 from redwingstream.operators.settings import OperatorSettings
 from redwingstream.settings.flags import flag_values, options_for
 from redwingstream.settings.reader import read_settings
@@ -29,7 +29,7 @@
 
 
 def setting_options() -> list[Any]:
-    """Return the options that every command has."""
+    """Return the options of every command: all settings and ``--json``."""
     return [
         *options_for(OperatorSettings),
         option('json', description='Write JSON for programs.'),
@@ -37,9 +37,17 @@
 
 
 class OperatorCommand(Command):
-    """Reads the settings, runs one coroutine, exits with a result code.
+    """Base class of commands that call the control instances.
 
-    Subclasses override :meth:`run_command`.
+    It reads the settings, runs :meth:`run_command` of the subclass and exits
+    with the result code.
+
+    Attributes
+    ----------
+    settings : OperatorSettings
+        Settings of the tool; set before :meth:`check` runs.
+    key : bytes
+        Content of the key file; set before :meth:`check` runs.
     """
 
     options = setting_options()
@@ -56,27 +64,27 @@
             return int(error.code)
 
     async def run_command(self, client: ControlClient) -> ResultCode:
-        """Do what the command is for."""
+        """Execute the command; overridden by subclasses."""
         raise NotImplementedError
 
     def check(self) -> None:
-        """Check what was written on the command line; no call is made yet."""
+        """Validate the command line before any call is made."""
 
-    def show(self, shown: object, lines: Iterable[str]) -> None:
+    def show(self, result: object, lines: Iterable[str]) -> None:
         """Write a result: the object as JSON, or the lines for people."""
         if self.option('json'):
-            self.show_text(json_text(shown))
+            self.show_text(json_text(result))
             return
         for text in lines:
             self.show_text(text)
 
     def show_text(self, text: str) -> None:
-        """Write text as it is."""
-        self.line(_plain(text))
+        """Write text to standard output without interpreting style tags."""
+        self.line(_escape_tags(text))
 
-    def say(self, text: str) -> None:
-        """Write a remark for people, never into the JSON."""
-        self.line_error(_plain(text))
+    def show_message(self, text: str) -> None:
+        """Write a message to standard error, so that the JSON stays valid."""
+        self.line_error(_escape_tags(text))
 
     def _handle(self) -> ResultCode:
         flags = flag_values(self, OperatorSettings)
@@ -95,12 +103,22 @@
             self.show_text(json_text(failure))
             return
         code = f'{error.code.name}, {int(error.code)}'
-        self.line_error(_plain(f'redwingstream: {error} [{code}]'))
+        self.line_error(_escape_tags(f'redwingstream: {error} [{code}]'))
 
 
 @attrs.frozen
 class _Failure:
-    """An error as ``--json`` shows it."""
+    """An error as ``--json`` shows it.
+
+    Parameters
+    ----------
+    code : int
+        Number of the result code.
+    name : str
+        Name of the result code.
+    error : str
+        Error message.
+    """
 
     code: int
     name: str
@@ -115,6 +133,6 @@
         yield ControlClient(calls, settings.control, settings.timeout)
 
 
-def _plain(text: str) -> str:
-    """Return text in which nothing is taken for a style tag."""
+def _escape_tags(text: str) -> str:
+    """Return text in which cleo does not interpret style tags."""
     return text.replace('<', r'\<')
--- a/redwingstream/operators/commands/change.py
+++ b/redwingstream/operators/commands/change.py
@@ -1,4 +1,4 @@
-"""What commands that change the tables have in common."""
+"""Base class of the commands that change the tables."""
 
 from typing import Any
 
@@ -10,9 +10,9 @@
     OperatorCommand,
     setting_options,
 )
-from redwingstream.operators.overview import endpoints_of, tables_from
+from redwingstream.operators.output import ChangeReport, change_lines
+from redwingstream.operators.overview import all_endpoints, tables_from
 from redwingstream.operators.plans import Difference
-from redwingstream.operators.rendering import ChangeReport, change_lines
 from redwingstream.tables.edits import (
     Edits,
     TablesRead,
@@ -48,7 +48,7 @@
 
 
 class ChangeCommand(OperatorCommand):
-    """A command that makes one change of the tables.
+    """Base class of commands that make one change of the tables.
 
     Subclasses override :meth:`make_edits`.
     """
@@ -56,11 +56,11 @@
     options = change_options()
 
     def make_edits(self) -> Edits:
-        """Return what to change."""
+        """Return the edits to send."""
         raise NotImplementedError
 
     def check(self) -> None:
-        """Check the revision that was written."""
+        """Validate the revision given by ``--based-on``."""
         text = self.option('based-on')
         if text is not None and not text.isdecimal():
             raise SettingError(
@@ -70,7 +70,7 @@
             )
 
     async def run_command(self, client: ControlClient) -> ResultCode:
-        """Make the change."""
+        """Read the tables and make the change."""
         edits = self.make_edits()
         read = await client.read_tables()
         return await self.make_change(client, read, edits)
@@ -82,7 +82,7 @@
         edits: Edits,
         differences: tuple[Difference, ...] = (),
     ) -> ResultCode:
-        """Send a change, wait for it if asked to, and show the outcome."""
+        """Send a change, wait for it with ``--wait``, and show the outcome."""
         answer = await client.change(
             edits,
             self._based_on(read),
@@ -90,14 +90,14 @@
             request_id=self.option('request-id') or '',
         )
         members = tables_from(read).member_by_host.values()
-        waits = self.option('wait')
+        should_wait = self.option('wait')
         lagging = ()
-        if waits:
+        if should_wait:
             lagging = await client.wait_in_force(
-                answer.revision, endpoints_of(client.control, members)
+                answer.revision, all_endpoints(client.control, members)
             )
         report = ChangeReport(
-            answer.revision, answer.warnings, waits, lagging, differences
+            answer.revision, answer.warnings, should_wait, lagging, differences
         )
         self.show(report, change_lines(report))
         return ResultCode.NOT_IN_FORCE if lagging else ResultCode.OK
--- a/redwingstream/operators/commands/explain.py
+++ b/redwingstream/operators/commands/explain.py
@@ -1,4 +1,4 @@
-"""The command that says where a caller's traffic goes."""
+"""The command ``explain``."""
 
 from cleo.helpers import argument
 
@@ -8,11 +8,11 @@
 from redwingstream.operators.commands.base import OperatorCommand
 from redwingstream.operators.explain import explain
 from redwingstream.operators.overview import tables_from
-from redwingstream.operators.reports import explanation_lines
+from redwingstream.operators.status_output import explanation_lines
 
 
 class Explain(OperatorCommand):
-    """Says where a caller's traffic goes, and why."""
+    """Explains where a caller's traffic goes, and why."""
 
     name = 'explain'
     description = "Say where a caller's traffic goes, and why."
@@ -22,10 +22,10 @@
     ]
 
     async def run_command(self, client: ControlClient) -> ResultCode:
-        """Follow the traffic; exit with the code that callers would meet."""
+        """Show the explanation; exit with the code that the caller gets."""
         caller = parse_endpoint(self.argument('caller'))
         service = parse_endpoint(self.argument('service'))
         tables = tables_from(await client.read_tables())
-        told = explain(tables, caller, service, self.key)
-        self.show(told, explanation_lines(told))
-        return told.code
+        explanation = explain(tables, caller, service, self.key)
+        self.show(explanation, explanation_lines(explanation))
+        return explanation.code
--- a/redwingstream/operators/commands/logs.py
+++ b/redwingstream/operators/commands/logs.py
@@ -1,4 +1,4 @@
-"""The command that tells the story of a flow from event logs."""
+"""The command ``explain logs``: the history of a flow from event logs."""
 
 import contextlib
 import sys
@@ -9,11 +9,15 @@
 from cleo.helpers import argument
 
 from redwingstream.errors import ResultCode
-from redwingstream.operators.story import read_lines, story_lines, story_of
+from redwingstream.operators.flow_history import (
+    build_history,
+    history_lines,
+    read_lines,
+)
 
 
 class ExplainLogs(Command):
-    """Tells what happened to a flow, from the logs of all processes."""
+    """Shows the history of a flow, from the event logs of all processes."""
 
     name = 'explain logs'
     description = "Tell what happened to a flow, from the processes' logs."
@@ -36,21 +40,21 @@
     )
 
     def handle(self) -> int:
-        """Tell the story; return the number of a result code."""
+        """Show the history; return the number of a result code."""
         files = self.argument('files') or []
         with contextlib.ExitStack() as stack:
-            texts = _texts(files, stack)
-            story = story_of(read_lines(texts), self.argument('flow'))
-        for line in story_lines(story):
+            texts = _read_texts(files, stack)
+            history = build_history(read_lines(texts), self.argument('flow'))
+        for line in history_lines(history):
             self.line(line)
-        found = ResultCode.OK if story.steps else ResultCode.UNKNOWN_ROW
+        found = ResultCode.OK if history.steps else ResultCode.UNKNOWN_ROW
         return int(found)
 
 
-def _texts(files: list[str], stack: contextlib.ExitStack) -> Iterator[str]:
+def _read_texts(files: list[str], stack: contextlib.ExitStack) -> Iterator[str]:
     if not files:
         yield from sys.stdin
         return
     for name in files:
-        opened = stack.enter_context(Path(name).open(errors='replace'))
-        yield from opened
+        log_file = stack.enter_context(Path(name).open(errors='replace'))
+        yield from log_file
--- a/redwingstream/operators/commands/members.py
+++ b/redwingstream/operators/commands/members.py
@@ -8,8 +8,8 @@
 from redwingstream.operators.client import ControlClient
 from redwingstream.operators.commands.base import OperatorCommand
 from redwingstream.operators.commands.change import ChangeCommand
-from redwingstream.operators.overview import tables_from, take_overview
-from redwingstream.operators.reports import overview_lines
+from redwingstream.operators.overview import collect_overview, tables_from
+from redwingstream.operators.status_output import overview_lines
 from redwingstream.tables.edits import (
     DrainMember,
     Edits,
@@ -17,19 +17,19 @@
 
 
 class _DrainCommand(ChangeCommand):
-    """Asks one member to leave, or to stay."""
+    """Sets or clears the drain mark of one member."""
 
     arguments = [argument('host', 'Name of the host.')]
     draining: bool
 
     def make_edits(self) -> Edits:
-        """Change one member."""
+        """Return an edit that sets or clears the drain mark."""
         host = self.argument('host')
         return Edits(drain=(DrainMember(host, self.draining),))
 
 
 class Drain(_DrainCommand):
-    """Asks a member to leave."""
+    """Drains a member: it gets no new work."""
 
     name = 'drain'
     description = 'Give a host no new work; what it carries goes on.'
@@ -37,7 +37,7 @@
 
 
 class Undrain(_DrainCommand):
-    """Takes the request to leave back."""
+    """Lets a drained member get new work again."""
 
     name = 'undrain'
     description = 'Give a host new work again.'
@@ -45,14 +45,14 @@
 
 
 class Status(OperatorCommand):
-    """Shows every process."""
+    """Shows the status of every process."""
 
     name = 'status'
     description = 'Show members, load and the revision in force on each.'
 
     async def run_command(self, client: ControlClient) -> ResultCode:
-        """Ask every process; exit with NOT_IN_FORCE when some lag."""
-        overview = await take_overview(client)
+        """Query every process; exit with ``NOT_IN_FORCE`` if any lags."""
+        overview = await collect_overview(client)
         self.show(overview, overview_lines(overview))
         lags = any(process.lags for process in overview.processes)
         return ResultCode.NOT_IN_FORCE if lags else ResultCode.OK
@@ -68,14 +68,16 @@
     ]
 
     async def run_command(self, client: ControlClient) -> ResultCode:
-        """Write the dump as it came for programs, indented for people."""
-        endpoint = await self._find(client, self.argument('process'))
+        """Show the dump, unchanged with ``--json`` and indented without."""
+        endpoint = await self._find_endpoint(client, self.argument('process'))
         text = await client.dump(endpoint)
         is_raw = self.option('json')
         self.show_text(text if is_raw else msgspec.json.format(text))
         return ResultCode.OK
 
-    async def _find(self, client: ControlClient, process: str) -> Endpoint:
+    async def _find_endpoint(
+        self, client: ControlClient, process: str
+    ) -> Endpoint:
         if ':' in process:
             return parse_endpoint(process)
         tables = tables_from(await client.read_tables())
--- a/redwingstream/operators/commands/tables.py
+++ b/redwingstream/operators/commands/tables.py
@@ -1,4 +1,4 @@
-"""Commands on routes, pools and zones, and ``apply``."""
+"""Commands on routes, pools and zones, and the command ``apply``."""
 
 import pathlib
 from collections.abc import Sequence
@@ -12,15 +12,15 @@
     ChangeCommand,
     change_options,
 )
-from redwingstream.operators.overview import tables_from
-from redwingstream.operators.plans import make_plan, read_tables_file
-from redwingstream.operators.rendering import (
+from redwingstream.operators.output import (
     difference_lines,
     pool_lines,
     route_lines,
     zone_lines,
 )
-from redwingstream.operators.rowchecks import checked
+from redwingstream.operators.overview import tables_from
+from redwingstream.operators.plans import make_plan, read_tables_file
+from redwingstream.operators.row_checks import normalized_row
 from redwingstream.tables.edits import (
     Edits,
     RemoveRow,
@@ -55,7 +55,7 @@
     description = 'Show the route table.'
 
     async def run_command(self, client: ControlClient) -> ResultCode:
-        """Show it."""
+        """Read the tables and show the routes."""
         tables = tables_from(await client.read_tables())
         rows = tuple(tables.route_by_key.values())
         self.show(rows, route_lines(rows))
@@ -74,13 +74,13 @@
     options = [*change_options(), _CALLERS]
 
     def make_edits(self) -> Edits:
-        """Set one route."""
+        """Return an edit that sets the route."""
         route = Route(
             self.argument('service'),
             self.argument('pool'),
             self.option('callers'),
         )
-        return Edits(set_routes=(SetRoute(checked(route)),))
+        return Edits(set_routes=(SetRoute(normalized_row(route)),))
 
 
 class RouteRemove(ChangeCommand):
@@ -92,10 +92,10 @@
     options = [*change_options(), _CALLERS]
 
     def make_edits(self) -> Edits:
-        """Remove one route."""
-        # The pool is no part of a route's name.
-        named = Route(self.argument('service'), 'any', self.option('callers'))
-        return _remove(Table.ROUTE, checked(named).key)
+        """Return an edit that removes the route."""
+        # The key of a route does not depend on its pool, so any name will do.
+        route = Route(self.argument('service'), 'any', self.option('callers'))
+        return _remove(Table.ROUTE, normalized_row(route).key)
 
 
 class PoolList(OperatorCommand):
@@ -105,7 +105,7 @@
     description = 'Show the pool table.'
 
     async def run_command(self, client: ControlClient) -> ResultCode:
-        """Show it."""
+        """Read the tables and show the pools."""
         tables = tables_from(await client.read_tables())
         rows = tuple(tables.pool_by_name.values())
         self.show(rows, pool_lines(rows))
@@ -139,10 +139,10 @@
     ]
 
     def make_edits(self) -> Edits:
-        """Set one pool."""
+        """Return an edit that sets the pool."""
         admits = tuple(self.argument('admits'))
         pool = Pool(self.argument('name'), admits, self._buckets())
-        return Edits(set_pools=(SetPool(checked(pool)),))
+        return Edits(set_pools=(SetPool(normalized_row(pool)),))
 
     def _buckets(self) -> int:
         text = self.option('buckets')
@@ -162,18 +162,18 @@
     arguments = [argument('name', 'Name of the pool.')]
 
     def make_edits(self) -> Edits:
-        """Remove one pool."""
+        """Return an edit that removes the pool."""
         return _remove(Table.POOL, self.argument('name'))
 
 
 class ZoneList(OperatorCommand):
-    """Shows the zone marks."""
+    """Shows which availability zones are marked out of or in service."""
 
     name = 'zone list'
     description = 'Show which availability zones were marked out or in.'
 
     async def run_command(self, client: ControlClient) -> ResultCode:
-        """Show them."""
+        """Read the tables and show the zone marks."""
         tables = tables_from(await client.read_tables())
         rows = tuple(tables.zone_by_name.values())
         self.show(rows, zone_lines(rows))
@@ -181,14 +181,14 @@
 
 
 class _ZoneCommand(ChangeCommand):
-    """Marks one availability zone."""
+    """Marks one availability zone as out of service or in service."""
 
     arguments = [argument('zone', 'Name of the availability zone.')]
     is_out: bool
 
     def make_edits(self) -> Edits:
-        """Mark one zone."""
-        mark = checked(ZoneMark(self.argument('zone'), self.is_out))
+        """Return an edit that marks the zone."""
+        mark = normalized_row(ZoneMark(self.argument('zone'), self.is_out))
         return Edits(set_zones=(SetZone(mark),))
 
 
@@ -201,7 +201,7 @@
 
 
 class ZoneIn(_ZoneCommand):
-    """Brings an availability zone back."""
+    """Brings an availability zone back into service."""
 
     name = 'zone in'
     description = 'Bring a zone back into service.'
@@ -209,7 +209,7 @@
 
 
 class Apply(ChangeCommand):
-    """Makes the tables what a file says."""
+    """Replaces tables by those in a file."""
 
     name = 'apply'
     description = 'Make the tables what a TOML or JSON file says.'
@@ -228,7 +228,7 @@
     ]
 
     async def run_command(self, client: ControlClient) -> ResultCode:
-        """Show the differences, ask, and make the change."""
+        """Show the differences, ask for confirmation, and make the change."""
         wanted = read_tables_file(pathlib.Path(self.argument('file')))
         read = await client.read_tables()
         plan = make_plan(tables_from(read), wanted)
@@ -236,17 +236,17 @@
         if self.option('dry-run') or not plan.differences:
             self.show(plan.differences, lines or ['no differences'])
             return ResultCode.OK
-        self._show_remarks(lines)
+        self._show_messages(lines)
         if not self._is_accepted():
-            self.say('nothing was changed')
+            self.show_message('nothing was changed')
             return ResultCode.OK
         return await self.make_change(
             client, read, plan.edits, plan.differences
         )
 
-    def _show_remarks(self, lines: Sequence[str]) -> None:
+    def _show_messages(self, lines: Sequence[str]) -> None:
         for text in lines:
-            self.say(text)
+            self.show_message(text)
 
     def _is_accepted(self) -> bool:
         if self.option('yes'):
--- a/redwingstream/operators/explain.py
+++ b/redwingstream/operators/explain.py
@@ -1,4 +1,9 @@
-"""Where a caller's traffic goes, and why."""
+"""Explains from the tables where a caller's traffic goes, and why.
+
+The flows of a pool are divided into buckets by a keyed hash of caller and
+service.  Each bucket has a home, the agent that owns it, and an heir, its
+replica.  The view of a pool lists the agents that serve it.
+"""
 
 import attrs
 
@@ -12,22 +17,23 @@
 
 @attrs.frozen
 class Explanation:
-    """The way of a caller's traffic, as far as it goes.
+    """Path of a caller's traffic, up to the step at which it is refused.
 
     Parameters
     ----------
     caller, service : str
-        ``IP:PORT`` of both ends.
+        Addresses as ``IP:PORT``.
     code : ResultCode
-        ``OK``, or why callers are refused.
+        ``OK``, or the reason why the caller is refused.
     route, pool : str
-        Names of the rows; empty when there is none.
+        Names of the route and the pool; empty if there is none.
     bucket, view : int or None
-        Number of the bucket, and of the view that says who holds it.
+        Number of the bucket, and of the view that determines its home and
+        heir; None if the traffic is refused before.
     home, heir : str
-        Hosts; empty when there is none.
+        Host names of the agents; empty if there is none.
     reasons : tuple of str
-        One sentence for each step.
+        One sentence for each step, in order.
     """
 
     caller: str
@@ -50,88 +56,94 @@
     Parameters
     ----------
     tables : Tables
-        As the leader has them.
+        Current tables of the leader.
     caller, service : Endpoint
-        Both ends.
+        Addresses of the caller and of the service it sends to.
     key : bytes
-        Key of the bucket hash.
+        Key of the hash that assigns flows to buckets.
     """
-    steps = _Steps(Explanation(str(caller), str(service), ResultCode.OK))
+    builder = _ExplanationBuilder(
+        Explanation(str(caller), str(service), ResultCode.OK)
+    )
     route = Routing(tables.route_by_key).find(str(service), caller)
     if route is None:
-        return steps.stop(
+        return builder.stop(
             ResultCode.NO_ROUTE,
             f'no route is for service {service} and a network that holds '
             f'caller {caller.host}',
         )
-    steps.add(
+    builder.add(
         f'route {route.key} is the longest network that holds the caller',
         route=route.key,
         pool=route.pool,
     )
-    return _explain_pool(tables, steps, route, key)
+    return _explain_pool(tables, builder, route, key)
 
 
-class _Steps:
-    """An explanation that grows."""
+class _ExplanationBuilder:
+    """Builds an explanation step by step."""
 
-    def __init__(self, start: Explanation) -> None:
-        self.explanation = start
+    def __init__(self, initial: Explanation) -> None:
+        self.explanation = initial
 
-    def add(self, reason: str, **found: object) -> None:
-        """Add a sentence, and set what it has found by field name."""
+    def add(self, reason: str, **fields: object) -> None:
+        """Add a reason, and set fields of the explanation by name."""
         self.explanation = attrs.evolve(
             self.explanation,
             reasons=(*self.explanation.reasons, reason),
-            **found,
+            **fields,
         )
 
     def stop(self, code: ResultCode, reason: str) -> Explanation:
-        """Add the reason why callers are refused; return the whole."""
+        """Add the reason why the caller is refused; return the explanation."""
         self.add(reason, code=code)
         return self.explanation
 
 
 def _explain_pool(
-    tables: Tables, steps: _Steps, route: Route, key: bytes
+    tables: Tables, builder: _ExplanationBuilder, route: Route, key: bytes
 ) -> Explanation:
     pool = tables.pool_by_name.get(route.pool)
     if pool is None:
-        return steps.stop(
+        return builder.stop(
             ResultCode.NO_POOL, f'the pool table has no pool {route.pool}'
         )
     view = tables.view_by_pool.get(pool.name)
     if view is None or not view.members:
-        return steps.stop(ResultCode.NO_SERVER, _why_empty(tables, pool))
-    told = steps.explanation
-    bucket = bucket_of(told.caller, told.service, pool.buckets, key)
-    steps.add(
+        return builder.stop(
+            ResultCode.NO_SERVER, _empty_view_reason(tables, pool)
+        )
+    explanation = builder.explanation
+    bucket = bucket_of(
+        explanation.caller, explanation.service, pool.buckets, key
+    )
+    builder.add(
         f'the keyed hash of caller and service gives bucket {bucket}, from '
         f'0 to {pool.buckets - 1}',
         bucket=bucket,
         view=view.number,
     )
-    _add_pair(steps, view, pair_of(view.members, pool.name, bucket))
-    return steps.explanation
+    _add_pair(builder, view, pair_of(view.members, pool.name, bucket))
+    return builder.explanation
 
 
-def _add_pair(steps: _Steps, view: PoolView, pair: Pair) -> None:
+def _add_pair(builder: _ExplanationBuilder, view: PoolView, pair: Pair) -> None:
     home = _describe(pair.home)
-    steps.add(
+    builder.add(
         f'home is {home}: first in weighted rendezvous order of the '
         f'{len(view.members)} members of view {view.number}',
         home=pair.home.host if pair.home else '',
     )
     if pair.heir is None:
-        steps.add('there is no heir: the view has one member')
+        builder.add('there is no heir: the view has one member')
         return
     same_zone = pair.home is not None and pair.home.zone == pair.heir.zone
-    which = 'no other zone has a member' if same_zone else 'of another zone'
-    steps.add(
-        f'heir is {_describe(pair.heir)}: the next one, {which}',
+    zone_note = 'no other zone has a member' if same_zone else 'of another zone'
+    builder.add(
+        f'heir is {_describe(pair.heir)}: the next one, {zone_note}',
         heir=pair.heir.host,
     )
-    steps.add(
+    builder.add(
         'the home serves new flows with its own server while that has room; '
         'the dump of the home names flows carried elsewhere',
     )
@@ -143,7 +155,7 @@
     return f'{member.host} in {member.zone} with weight {member.weight}'
 
 
-def _why_empty(tables: Tables, pool: Pool) -> str:
+def _empty_view_reason(tables: Tables, pool: Pool) -> str:
     announced = [
         member
         for member in tables.member_by_host.values()
@@ -152,13 +164,13 @@
     if not announced:
         return f'no server has announced itself for pool {pool.name}'
     causes = [
-        f'{member.host}: {_why_not(tables, pool, member.host)}'
+        f'{member.host}: {_exclusion_reason(tables, pool, member.host)}'
         for member in announced
     ]
     return 'no announced server may serve: {0}'.format('; '.join(causes))
 
 
-def _why_not(tables: Tables, pool: Pool, host: str) -> str:
+def _exclusion_reason(tables: Tables, pool: Pool, host: str) -> str:
     member = tables.member_by_host[host]
     if not pool.admits_host(host):
         return 'the pool does not admit its name'
--- a/redwingstream/operators/story.py
+++ b/redwingstream/operators/flow_history.py
@@ -1,8 +1,9 @@
-"""The story of one flow, from the event logs of all processes.
+"""Reconstructs the history of one flow from the event logs of all processes.
 
-Reads the lines that the packet roles write to standard output, in any order and
-with anything in front of them, and puts together what was decided about a flow,
-by whom, and what the decider knew at that moment.
+The input is the lines that the packet roles (balancer, agent, control instance)
+write to standard output, in any order and with any prefix.  The history lists
+the decisions about a flow, which process made each of them, and the state that
+the process knew at that time.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -26,7 +27,7 @@
         'flow_declared_dead': 'reset, since no server can hold it any more',
     }
 )
-"""What each event says of a flow."""
+"""Description of each event of a flow, formatted with the event's fields."""
 
 VERDICTS = (
     ('flow_lost', 'opened, then lost by its server'),
@@ -38,9 +39,12 @@
     ('flow_dropped', 'dropped without an answer'),
     ('flow_sent', 'sent to an agent that said nothing'),
 )
-"""How a flow ended, by the first of these events that there was."""
+"""Events in order of precedence, each with the verdict on the flow.
 
-_BELIEF_EVENTS = frozenset(
+The first of these events that occurred determines the verdict.
+"""
+
+_STATE_EVENTS = frozenset(
     (
         'tables_changed',
         'server_reported',
@@ -53,16 +57,18 @@
 
 @attrs.frozen
 class LogLine:
-    """A line of an event log.
+    """One line of an event log.
 
     Parameters
     ----------
     time : float
-        Time of day in seconds, by the clock of its instance.
-    node, role, event : str
-        Who wrote it, and what it tells.
+        Time of day in seconds, by the clock of the instance that wrote it.
+    node, role : str
+        Instance and role of the process that wrote it.
+    event : str
+        Name of the event.
     fields : dict
-        The rest.
+        All fields of the line, by name.
     """
 
     time: float
@@ -74,7 +80,7 @@
 
 @attrs.frozen
 class _Head:
-    """What every line begins with."""
+    """Fields that every line of an event log has."""
 
     time: float
     node: str
@@ -92,11 +98,11 @@
     Parameters
     ----------
     line : LogLine
-        The decision.
+        The log line of the decision.
     text : str
-        In words.
+        Description of the decision.
     known : tuple of str
-        What its decider knew, in words.
+        Descriptions of the state that the process knew at that time.
     """
 
     line: LogLine
@@ -105,20 +111,20 @@
 
 
 @attrs.frozen
-class Story:
-    """What happened to a flow.
+class FlowHistory:
+    """Decisions about one flow, and its end.
 
     Parameters
     ----------
     flow : str
-        ``caller>service``.
+        ``caller>service``, or a prefix of it.
     steps : tuple of Step
-        In the order of time.
+        Decisions in order of time.
     verdict : str
-        How it ended.
+        How the flow ended.
     left_out : int
-        Lines of these kinds that were left out near the steps, so that some
-        may be missing.
+        Number of log lines that were omitted before these steps because their
+        event was over its log budget; steps of this flow may be missing.
     """
 
     flow: str
@@ -128,7 +134,7 @@
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Read the lines that are of an event log; others are passed over."""
+    """Parse the lines of event logs; other lines are skipped."""
     for text in texts:
         start = text.find('{"time"')
         if start >= 0:
@@ -137,69 +143,71 @@
                 yield line
 
 
-def story_of(lines: Iterable[LogLine], flow: str) -> Story:
-    """Put together what happened to a flow.
+def build_history(lines: Iterable[LogLine], flow: str) -> FlowHistory:
+    """Return the history of a flow.
 
     Parameters
     ----------
     lines : iterable of LogLine
-        Of all processes, in any order.
+        Log lines of all processes, in any order.
     flow : str
-        ``caller>service``, or its beginning.
+        ``caller>service``, or a prefix of it.
     """
     steps: list[Step] = []
     known_by_process: dict[tuple[str, str], dict[str, LogLine]] = {}
     left_out = 0
-    for line in sorted(lines, key=lambda one: one.time):
+    for line in sorted(lines, key=lambda entry: entry.time):
         process = (line.node, line.role)
-        if line.event in _BELIEF_EVENTS:
+        if line.event in _STATE_EVENTS:
             known = known_by_process.setdefault(process, {})
             if line.event == 'process_started':
-                # It knows nothing of what an earlier run of it knew.
+                # A new run knows nothing of what an earlier run knew.
                 known.clear()
             known[line.event] = line
         elif str(line.fields.get('flow', '')).startswith(flow):
             left_out += int(line.fields.get('left_out_before', 0))
             known = known_by_process.get(process, {})
-            steps.append(Step(line, _text(line), _beliefs(known, line.time)))
-    return Story(flow, tuple(steps), _verdict(steps), left_out)
-
-
-def story_lines(story: Story) -> list[str]:
-    """Return a story as lines for people."""
-    if not story.steps:
-        return [f'{story.flow}: no line tells of this flow']
-    shown = [f'{story.flow}: {story.verdict}']
-    first = story.steps[0].line.time
-    for step in story.steps:
-        after = f'{step.line.time - first:+.3f} s'
-        who = f'{step.line.role} {step.line.node}'
-        shown.append(f'{after:>11}  {who}: {step.text}')
-        shown.extend(f'{"":>13}knew: {text}' for text in step.known)
-    if story.left_out:
-        shown.append(
-            f'{story.left_out} lines of these kinds were left out over their '
+            steps.append(
+                Step(line, _step_text(line), _known_state(known, line.time))
+            )
+    return FlowHistory(flow, tuple(steps), _verdict(steps), left_out)
+
+
+def history_lines(history: FlowHistory) -> list[str]:
+    """Return a history as lines of text."""
+    if not history.steps:
+        return [f'{history.flow}: no line tells of this flow']
+    output = [f'{history.flow}: {history.verdict}']
+    start_time = history.steps[0].line.time
+    for step in history.steps:
+        offset = f'{step.line.time - start_time:+.3f} s'
+        process = f'{step.line.role} {step.line.node}'
+        output.append(f'{offset:>11}  {process}: {step.text}')
+        output.extend(f'{"":>13}knew: {text}' for text in step.known)
+    if history.left_out:
+        output.append(
+            f'{history.left_out} lines of these kinds were left out over their '
             'budget; some steps may be missing',
         )
-    return shown
+    return output
 
 
 def _read_line(text: str) -> LogLine | None:
     try:
         head = _decoder.decode(text)
     except msgspec.DecodeError:
-        # A line that was cut off, or that another program wrote.
+        # The line is truncated, or another program wrote it.
         return None
     fields = msgspec.json.decode(text)
     return LogLine(head.time, head.node, head.role, head.event, fields)
 
 
-def _text(line: LogLine) -> str:
-    form = TEXT_BY_EVENT.get(line.event)
-    if form is None:
+def _step_text(line: LogLine) -> str:
+    template = TEXT_BY_EVENT.get(line.event)
+    if template is None:
         return line.event
     try:
-        return form.format(**line.fields)
+        return template.format(**line.fields)
     except KeyError:
         return line.event
 
@@ -212,19 +220,19 @@
     return 'nothing is known of it'
 
 
-def _beliefs(known: Mapping[str, LogLine], now: float) -> tuple[str, ...]:
+def _known_state(known: Mapping[str, LogLine], now: float) -> tuple[str, ...]:
     return tuple(
         text
         for text in (
-            _tables_belief(known, now),
-            _server_belief(known, now),
-            _control_belief(known, now),
+            _known_tables(known, now),
+            _known_server(known, now),
+            _known_control(known, now),
         )
         if text
     )
 
 
-def _tables_belief(known: Mapping[str, LogLine], now: float) -> str:
+def _known_tables(known: Mapping[str, LogLine], now: float) -> str:
     tables = known.get('tables_changed')
     if tables is None:
         return 'no tables yet' if 'process_started' in known else ''
@@ -236,7 +244,7 @@
     )
 
 
-def _server_belief(known: Mapping[str, LogLine], now: float) -> str:
+def _known_server(known: Mapping[str, LogLine], now: float) -> str:
     reported = known.get('server_reported')
     if reported is None:
         return ''
@@ -248,7 +256,7 @@
     )
 
 
-def _control_belief(known: Mapping[str, LogLine], now: float) -> str:
+def _known_control(known: Mapping[str, LogLine], now: float) -> str:
     lost = known.get('dependency_lost')
     regained = known.get('dependency_regained')
     if lost is None or (regained is not None and regained.time > lost.time):
--- a/redwingstream/operators/rendering.py
+++ b/redwingstream/operators/output.py
@@ -1,11 +1,11 @@
-"""Tables, differences and changes in columns for people, or in JSON."""
+"""Formats tables, differences and changes as text for people, or as JSON."""
 
 from collections.abc import Iterable
 
 import attrs
 import msgspec
 
-from redwingstream.operators.client import Laggard
+from redwingstream.operators.client import LaggingProcess
 from redwingstream.operators.columns import columns
 from redwingstream.operators.plans import Difference
 from redwingstream.tables.rows import Pool, Route, ZoneMark
@@ -13,32 +13,32 @@
 
 @attrs.frozen
 class ChangeReport:
-    """What became of a change that was accepted.
+    """Outcome of an accepted change.
 
     Parameters
     ----------
     revision : int
-        At which revision.
+        Configuration revision at which the change was accepted.
     warnings : tuple of str
-        What a forced change does.
+        Warnings about what a forced change does to traffic.
     waited : bool
-        Whether the tool has waited until it was in force.
-    lagging : tuple of Laggard
-        On which processes it is not in force.
+        Whether the tool waited for the change to be in force everywhere.
+    lagging : tuple of LaggingProcess
+        Processes on which the change is not in force.
     differences : tuple of Difference
-        What changed, when a file was applied.
+        Changed rows, if a file was applied.
     """
 
     revision: int
     warnings: tuple[str, ...] = ()
     waited: bool = False
-    lagging: tuple[Laggard, ...] = ()
+    lagging: tuple[LaggingProcess, ...] = ()
     differences: tuple[Difference, ...] = ()
 
 
-def json_text(shown: object) -> str:
-    """Return any data class or list of them as JSON text."""
-    return msgspec.json.format(msgspec.json.encode(shown)).decode()
+def json_text(value: object) -> str:
+    """Return an ``attrs`` object, or a sequence of them, as JSON text."""
+    return msgspec.json.format(msgspec.json.encode(value)).decode()
 
 
 def route_lines(routes: Iterable[Route]) -> list[str]:
@@ -60,30 +60,30 @@
 
 
 def difference_lines(differences: Iterable[Difference]) -> list[str]:
-    """Return what a plan changes, a line for each row."""
+    """Return the changes of a plan, one line for each row."""
     return [_difference_line(difference) for difference in differences]
 
 
 def change_lines(report: ChangeReport) -> list[str]:
-    """Return what became of a change."""
+    """Return the outcome of a change as lines of text."""
     lines = [f'accepted at revision {report.revision}']
     lines.extend(f'warning: {warning}' for warning in report.warnings)
     if report.waited and not report.lagging:
         lines.append('in force on every process')
-    lines.extend(_laggard_line(laggard) for laggard in report.lagging)
+    lines.extend(_lagging_line(process) for process in report.lagging)
     return lines
 
 
 def _difference_line(difference: Difference) -> str:
     texts = filter(None, (difference.before, difference.after))
-    words = ' -> '.join(texts)
-    return f'{difference.sign} {difference.table} {difference.key}: {words}'
+    change = ' -> '.join(texts)
+    return f'{difference.sign} {difference.table} {difference.key}: {change}'
 
 
-def _laggard_line(laggard: Laggard) -> str:
-    if laggard.revision is None:
-        return f'not in force on {laggard.endpoint}: it does not answer'
+def _lagging_line(process: LaggingProcess) -> str:
+    if process.revision is None:
+        return f'not in force on {process.endpoint}: it does not answer'
     return (
-        f'not in force on {laggard.endpoint}: it has revision '
-        f'{laggard.revision}'
+        f'not in force on {process.endpoint}: it has revision '
+        f'{process.revision}'
     )
--- a/redwingstream/operators/overview.py
+++ b/redwingstream/operators/overview.py
@@ -1,4 +1,8 @@
-"""Members, and the revision in force on each process."""
+"""Collects the status of all processes: control instances and members.
+
+A member is a balancer or agent that has announced itself to the control
+instances.
+"""
 
 import asyncio
 from collections.abc import Iterable, Sequence
@@ -16,37 +20,43 @@
 from redwingstream.tables.snapshot import Tables
 
 MAX_CALLS_AT_ONCE = 16
-"""Processes that are asked at the same time at most."""
+"""Maximum number of processes that are queried at the same time."""
 
 CONTROL_ROLE = 'control'
-"""Role of a control instance, which is no member and has no row."""
+"""Role shown for a control instance, which has no row in the member table."""
 
 
 @attrs.frozen
 class ConsensusVitals:
-    """What the overview takes of a control instance's consensus."""
+    """Part of a control instance's dump that describes its consensus.
+
+    Parameters
+    ----------
+    role : str
+        Role in the consensus group, such as leader or follower.
+    """
 
     role: str = ''
 
 
 @attrs.frozen
 class Vitals:
-    """What the overview takes from the dump of a process.
+    """Values that the overview reads from the dump of a process.
 
     Parameters
     ----------
     host : str
-        Its name.
+        Name of its host.
     zone : str
         Its availability zone.
     in_flight : int or None
-        Requests that its server is running.
+        Number of requests that its backend server is running.
     flows : int or None
-        Feeds that it carries.
+        Number of feeds that it carries.
     limit : int or None
-        Requests that its server may run at once.
+        Maximum number of requests that its server may run at once.
     consensus : ConsensusVitals or None
-        Of a control instance.
+        Consensus values; None unless it is a control instance.
     """
 
     host: str = ''
@@ -59,22 +69,22 @@
 
 @attrs.frozen
 class ProcessStatus:
-    """One process as the overview shows it.
+    """Status of one process.
 
     Parameters
     ----------
     role : str
         ``control``, ``balancer`` or ``agent``.
     endpoint : str
-        Where it takes calls.
+        ``IP:PORT`` at which it receives calls.
     revision : int or None
-        Revision of the tables in force on it; None when it does not answer.
+        Revision of the tables in force on it; None if it does not answer.
     lags : bool
-        True when that is behind the last accepted change.
+        Whether it is silent or behind the last accepted change.
     vitals : Vitals
-        From its dump.
+        Values from its dump; empty if it does not answer.
     member : Member or None
-        Its row; None for a control instance.
+        Its row in the member table; None for a control instance.
     """
 
     role: str
@@ -87,7 +97,7 @@
 
 @attrs.frozen
 class Overview:
-    """Everything that ``status`` shows.
+    """Everything that the command ``status`` shows.
 
     Parameters
     ----------
@@ -96,7 +106,7 @@
     zones_out : tuple of str
         Availability zones out of service.
     processes : tuple of ProcessStatus
-        Control instances, then members by host.
+        Control instances, then members sorted by host.
     """
 
     config_revision: int
@@ -104,10 +114,10 @@
     processes: tuple[ProcessStatus, ...]
 
 
-def endpoints_of(
+def all_endpoints(
     control: Sequence[Endpoint], members: Iterable[Member]
 ) -> tuple[Endpoint, ...]:
-    """Return the endpoints of all processes."""
+    """Return the endpoints of all control instances and members."""
     return (
         *control,
         *(parse_endpoint(member.endpoint) for member in members),
@@ -115,62 +125,65 @@
 
 
 def tables_from(read: TablesRead) -> Tables:
-    """Return the tables that the leader has sent."""
+    """Return the tables in an answer of the leader."""
     return Tables().updated(read.update)
 
 
-async def take_overview(client: ControlClient) -> Overview:
-    """Ask the leader for the tables and every process for its state."""
+async def collect_overview(client: ControlClient) -> Overview:
+    """Read the tables from the leader and query the state of every process."""
     read = await client.read_tables()
     tables = tables_from(read)
-    surveyor = _Surveyor(client, read.config_revision)
+    collector = _StatusCollector(client, read.config_revision)
     members = sorted(
         tables.member_by_host.values(), key=lambda member: member.host
     )
-    asked = [surveyor.ask(CONTROL_ROLE, spot, None) for spot in client.control]
-    asked.extend(
-        surveyor.ask(member.role, parse_endpoint(member.endpoint), member)
+    queries = [
+        collector.collect(CONTROL_ROLE, endpoint, None)
+        for endpoint in client.control
+    ]
+    queries.extend(
+        collector.collect(member.role, parse_endpoint(member.endpoint), member)
         for member in members
     )
     marks = tables.zone_by_name.values()
     return Overview(
         read.config_revision,
         tuple(sorted(mark.zone for mark in marks if mark.out)),
-        tuple(await asyncio.gather(*asked)),
+        tuple(await asyncio.gather(*queries)),
     )
 
 
-class _Surveyor:
-    """Asks processes, a bounded number at once."""
+class _StatusCollector:
+    """Queries processes, at most ``MAX_CALLS_AT_ONCE`` at the same time."""
 
     def __init__(self, client: ControlClient, config_revision: int) -> None:
         self._client = client
         self._config_revision = config_revision
-        self._places = asyncio.Semaphore(MAX_CALLS_AT_ONCE)
+        self._call_slots = asyncio.Semaphore(MAX_CALLS_AT_ONCE)
 
-    async def ask(
+    async def collect(
         self, role: str, endpoint: Endpoint, member: Member | None
     ) -> ProcessStatus:
-        """Return the status of one process; a silent one has no revision."""
-        async with self._places:
-            revision = await self._revision(endpoint)
+        """Query one process; its revision is None if it does not answer."""
+        async with self._call_slots:
+            revision = await self._fetch_revision(endpoint)
             vitals = Vitals()
             if revision is not None:
-                vitals = await self._vitals(endpoint)
+                vitals = await self._fetch_vitals(endpoint)
         lags = revision is None or revision < self._config_revision
         return ProcessStatus(
             role, str(endpoint), revision, lags, vitals, member
         )
 
-    async def _revision(self, endpoint: Endpoint) -> int | None:
+    async def _fetch_revision(self, endpoint: Endpoint) -> int | None:
         try:
-            return await self._client.revision_of(
+            return await self._client.fetch_revision(
                 endpoint, self._config_revision
             )
         except CallFailedError:
             return None
 
-    async def _vitals(self, endpoint: Endpoint) -> Vitals:
+    async def _fetch_vitals(self, endpoint: Endpoint) -> Vitals:
         try:
             text = await self._client.dump(endpoint)
         except CallFailedError:
--- a/redwingstream/operators/plans.py
+++ b/redwingstream/operators/plans.py
@@ -1,8 +1,8 @@
-"""What a file of tables would change.
+"""Compares a file of tables with the current tables.
 
 The file is TOML or JSON with lists ``pools``, ``routes`` and ``zones``.  A
-table that the file names is replaced whole; a table that it leaves out stays
-as it is.
+table that the file names is replaced as a whole; a table that it omits is not
+changed.
 """
 
 import json
@@ -16,7 +16,7 @@
 import msgspec
 
 from redwingstream.errors import ResultCode, SettingError
-from redwingstream.operators.rowchecks import checked, describe_row
+from redwingstream.operators.row_checks import describe_row, normalized_row
 from redwingstream.tables.edits import (
     Edits,
     RemoveRow,
@@ -40,12 +40,12 @@
 
 @attrs.frozen
 class TablesFile:
-    """Tables as a file states them.
+    """Tables as given in a file.
 
     Parameters
     ----------
     pools, routes, zones : tuple, optional
-        The whole table; None when the file does not name it.
+        All rows of the table; None if the file does not name the table.
     """
 
     pools: tuple[Pool, ...] | None = None
@@ -62,11 +62,11 @@
     sign : str
         ``+`` new, ``~`` changed, ``-`` removed.
     table : Table
-        Its table.
+        Table of the row.
     key : str
-        Its name.
+        Name of the row.
     before, after : str
-        The row in words; empty when there is none.
+        Description of the row; empty if there is no such row.
     """
 
     sign: str
@@ -78,7 +78,15 @@
 
 @attrs.frozen
 class Plan:
-    """Edits, and the same as differences to show."""
+    """Edits to send, and the same changes in a form to show.
+
+    Parameters
+    ----------
+    edits : Edits
+        Changes to send to the leader.
+    differences : tuple of Difference
+        The changed rows, for output.
+    """
 
     edits: Edits
     differences: tuple[Difference, ...]
@@ -90,7 +98,8 @@
     Raises
     ------
     SettingError
-        When it cannot be read, or a row has a wrong or unknown field.
+        If the file cannot be read, or with code ``BAD_ROW`` if a row has an
+        invalid or unknown field.
     """
     try:
         text = path.read_text()
@@ -111,7 +120,7 @@
 
 
 def make_plan(current: Tables, wanted: TablesFile) -> Plan:
-    """Return what leads from the present tables to those of a file."""
+    """Return the changes that turn the current tables into those of a file."""
     pools = _compare(Table.POOL, current.pool_by_name, wanted.pools)
     routes = _compare(Table.ROUTE, current.route_by_key, wanted.routes)
     zones = _compare(Table.ZONE, current.zone_by_name, wanted.zones)
@@ -129,7 +138,7 @@
 
 @attrs.define
 class _Comparison:
-    """Differences of one table."""
+    """Changes of one table: rows to set, names to remove, and differences."""
 
     changed: list[Pool | Route | ZoneMark] = attrs.field(factory=list)
     removed: list[RowName] = attrs.field(factory=list)
@@ -151,7 +160,8 @@
             continue
         comparison.changed.append(row)
         comparison.differences.append(_difference(table, key, before, row))
-    # Sorted: the edits of a change that is sent again have to be the same.
+    # Sorted, because a change that is sent again under the same request id must
+    # have the same edits; the order of a set differs between processes.
     for key in sorted(current.keys() - wanted_by_key.keys()):
         comparison.removed.append(RowName(table, key))
         comparison.differences.append(
@@ -171,32 +181,32 @@
 
 
 def _parse(text: str, *, is_json: bool) -> TablesFile:
-    plain = json.loads(text) if is_json else tomllib.loads(text)
-    _check_names(plain)
-    read = msgspec.convert(plain, TablesFile)
+    document = json.loads(text) if is_json else tomllib.loads(text)
+    _check_names(document)
+    read = msgspec.convert(document, TablesFile)
     return TablesFile(
-        _checked_rows(read.pools),
-        _checked_rows(read.routes),
-        _checked_rows(read.zones),
+        _normalized_rows(read.pools),
+        _normalized_rows(read.routes),
+        _normalized_rows(read.zones),
     )
 
 
-def _checked_rows(rows: tuple[RowT, ...] | None) -> tuple[RowT, ...] | None:
-    return None if rows is None else tuple(map(checked, rows))
+def _normalized_rows(rows: tuple[RowT, ...] | None) -> tuple[RowT, ...] | None:
+    return None if rows is None else tuple(map(normalized_row, rows))
 
 
-def _check_names(plain: Mapping[str, list[Mapping[str, object]]]) -> None:
-    """Refuse unknown names: a misspelt one would be passed over silently."""
-    _refuse_unknown('table', plain, _CLASS_BY_TABLE)
-    for table, rows in plain.items():
+def _check_names(document: Mapping[str, list[Mapping[str, object]]]) -> None:
+    """Reject unknown names; otherwise a misspelt one would be ignored."""
+    _reject_unknown('table', document, _CLASS_BY_TABLE)
+    for table, rows in document.items():
         fields = attrs.fields_dict(_CLASS_BY_TABLE[table])
         for row in rows:
-            _refuse_unknown(f'field in {table}', row, fields)
+            _reject_unknown(f'field in {table}', row, fields)
 
 
-def _refuse_unknown(
-    kind: str, met: Iterable[str], allowed: Iterable[str]
+def _reject_unknown(
+    kind: str, names: Iterable[str], allowed: Iterable[str]
 ) -> None:
-    unknown = sorted(set(met) - set(allowed))
+    unknown = sorted(set(names) - set(allowed))
     if unknown:
         raise ValueError(f'unknown {kind}: {unknown}')
--- a/redwingstream/operators/rowchecks.py
+++ b/redwingstream/operators/row_checks.py
@@ -1,6 +1,7 @@
-"""Checks rows before they are sent, and writes addresses in one form.
+"""Validates rows before they are sent, and normalizes their addresses.
 
-Control checks them again; here the message can name what the operator wrote.
+The control instances validate rows again.  Validation in the tool allows an
+error message that quotes what the operator wrote.
 """
 
 import ipaddress
@@ -19,7 +20,7 @@
 
 
 def describe_row(row: Row) -> str:
-    """Return a row in words, without its name."""
+    """Return a short description of a row, without its name."""
     match row:
         case Pool():
             admits = ','.join(row.admits)
@@ -30,52 +31,53 @@
             return 'out' if row.out else 'in'
 
 
-def checked(row: Row) -> Row:
-    """Return a row with its addresses in their usual form.
+def normalized_row(row: Row) -> Row:
+    """Validate a row and return it with its addresses in canonical form.
 
     Raises
     ------
     SettingError
-        ``BAD_ROW``, with the value met and the values allowed.
+        With code ``BAD_ROW``, if a value is not allowed.  The message names
+        the value and the allowed values.
     """
     match row:
         case Pool():
-            return _checked_pool(row)
+            return _normalized_pool(row)
         case Route():
-            return _checked_route(row)
+            return _normalized_route(row)
         case ZoneMark():
             _require_name('zone', row.zone)
             return row
 
 
-def _checked_pool(pool: Pool) -> Pool:
+def _normalized_pool(pool: Pool) -> Pool:
     _require_name('pool', pool.name)
     if not is_bucket_count(pool.buckets):
-        raise _bad_row(
+        raise _bad_row_error(
             f'pool {pool.name!r} has {pool.buckets} buckets; allowed: a power '
             f'of two from 1 to {MAX_BUCKETS}',
         )
     return pool
 
 
-def _checked_route(route: Route) -> Route:
+def _normalized_route(route: Route) -> Route:
     _require_name('pool', route.pool)
     try:
         network = ipaddress.ip_network(route.callers)
     except ValueError as error:
-        raise _bad_row(
+        raise _bad_row_error(
             f'route of {route.service} has callers {route.callers!r}; '
             f'allowed: a network such as 10.0.0.0/8 ({error})',
         ) from error
-    service = _service_of(route)
+    service = _normalized_service(route)
     return Route(str(service), route.pool, str(network))
 
 
-def _service_of(route: Route) -> str:
+def _normalized_service(route: Route) -> str:
     try:
         return str(parse_endpoint(route.service))
     except SettingError as error:
-        raise _bad_row(
+        raise _bad_row_error(
             f'route to pool {route.pool!r} has service {route.service!r}; '
             f'allowed: IP:PORT ({error})',
         ) from error
@@ -83,8 +85,8 @@
 
 def _require_name(kind: str, name: str) -> None:
     if not name.strip():
-        raise _bad_row(f'a {kind} has an empty name; give it one')
+        raise _bad_row_error(f'a {kind} has an empty name; give it one')
 
 
-def _bad_row(text: str) -> SettingError:
+def _bad_row_error(text: str) -> SettingError:
     return SettingError(text, ResultCode.BAD_ROW)
--- a/redwingstream/operators/settings.py
+++ b/redwingstream/operators/settings.py
@@ -14,12 +14,12 @@
 )
 from redwingstream.settings.reader import setting
 
-DEFAULT_TIMEOUT = 10
+DEFAULT_TIMEOUT = 10  # seconds
 
 
 @attrs.frozen(kw_only=True)
 class OperatorSettings:
-    """What every command needs to know."""
+    """Settings of every command that calls the control instances."""
 
     control: tuple[Endpoint, ...] = setting(
         parse_endpoints,
--- a/redwingstream/operators/reports.py
+++ b/redwingstream/operators/status_output.py
@@ -1,11 +1,14 @@
-"""Status of the processes and explanations as text for people."""
+"""Formats the status of processes and explanations as text for people."""
 
 from redwingstream.operators.columns import columns
 from redwingstream.operators.explain import Explanation
 from redwingstream.operators.overview import Overview, ProcessStatus
 
 UNKNOWN = '?'
+"""Shown for a value that the tool could not find out."""
+
 NOTHING = '-'
+"""Shown for a value that does not exist."""
 
 _STATUS_HEADINGS = (
     'ROLE',
@@ -22,7 +25,7 @@
 
 
 def overview_lines(overview: Overview) -> list[str]:
-    """Return the status of all processes in columns."""
+    """Return a summary and the status of all processes in columns."""
     zones = ', '.join(overview.zones_out) or 'none'
     lagging = sum(process.lags for process in overview.processes)
     return [
@@ -34,7 +37,7 @@
 
 
 def explanation_lines(explanation: Explanation) -> list[str]:
-    """Return where a caller's traffic goes, and why."""
+    """Return an explanation as lines of text, one reason per line."""
     result = explanation.code.name.lower()
     return [
         f'caller   {explanation.caller}',
@@ -42,7 +45,7 @@
         f'result   {result}',
         f'route    {explanation.route or NOTHING}',
         f'pool     {explanation.pool or NOTHING}',
-        f'bucket   {_number(explanation.bucket, NOTHING)}',
+        f'bucket   {_number_text(explanation.bucket, NOTHING)}',
         f'home     {explanation.home or NOTHING}',
         f'heir     {explanation.heir or NOTHING}',
         *(f'because  {reason}' for reason in explanation.reasons),
@@ -53,16 +56,16 @@
     vitals = process.vitals
     return [
         process.role,
-        *_identity(process),
-        _number(vitals.in_flight, NOTHING),
-        _number(vitals.limit, NOTHING),
-        _number(vitals.flows, NOTHING),
-        _number(process.revision, UNKNOWN),
-        _state_of(process),
+        *_identity_cells(process),
+        _number_text(vitals.in_flight, NOTHING),
+        _number_text(vitals.limit, NOTHING),
+        _number_text(vitals.flows, NOTHING),
+        _number_text(process.revision, UNKNOWN),
+        _state_text(process),
     ]
 
 
-def _identity(process: ProcessStatus) -> list[str]:
+def _identity_cells(process: ProcessStatus) -> list[str]:
     member = process.member
     if member is None:
         host = process.vitals.host or process.endpoint
@@ -71,7 +74,7 @@
     return [member.host, member.zone, pool, str(member.weight)]
 
 
-def _state_of(process: ProcessStatus) -> str:
+def _state_text(process: ProcessStatus) -> str:
     if process.revision is None:
         return 'silent'
     if process.lags:
@@ -83,5 +86,5 @@
     return f'in force, {role}' if role else 'in force'
 
 
-def _number(number: int | None, absent: str) -> str:
+def _number_text(number: int | None, absent: str) -> str:
     return absent if number is None else str(number)
--- a/redwingstream/operators/tests/fakes.py
+++ b/redwingstream/operators/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A fleet of processes at the call interface, without sockets."""
+"""Fake of all processes at the call interface, without sockets."""
 
 import attrs
 
@@ -58,15 +58,25 @@
     Parameters
     ----------
     leader : Endpoint
-        Who leads.
+        Control instance that leads.
     named : Endpoint, optional
-        Whom the others take for the leader.
+        Control instance that the others name as the leader.
     refusal : str
-        What the others say instead of naming that one.
+        Error text of the others; empty for one that names ``named``.
     silent : set of Endpoint
-        Who does not answer.
+        Processes that do not answer.
     lost_answers : int
-        How many answers to accepted changes get lost.
+        Number of answers to accepted changes that are still to be lost.
+    tables : Tables
+        Tables of the leader.
+    agent_revision : int
+        Revision of the tables in force on the agent.
+    accepted : list of ChangeRequest
+        Changes that were accepted.
+    asked : list of Endpoint
+        Endpoints of all calls, in order.
+    answer_by_id : dict
+        Answers to changes, by request id.
     """
 
     leader: Endpoint = CONTROL[0]
@@ -81,7 +91,7 @@
     answer_by_id: dict[str, ChangeAnswer] = attrs.field(factory=dict)
 
     async def call(self, endpoint, request, answer_class, timeout=2.0):
-        """Answer as the process at an endpoint."""
+        """Answer as the process at ``endpoint`` would."""
         self.asked.append(endpoint)
         if endpoint in self.silent:
             raise _timed_out(endpoint)
--- a/redwingstream/operators/tests/test_client.py
+++ b/redwingstream/operators/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Tests of finding the leader, changing and waiting."""
+"""Tests of finding the leader, changing the tables and waiting."""
 
 import pytest
 
@@ -7,7 +7,7 @@
     ChangeRefusedError,
     ResultCode,
 )
-from redwingstream.operators.client import ControlClient, Laggard
+from redwingstream.operators.client import ControlClient, LaggingProcess
 from redwingstream.operators.tests.fakes import AGENT, CONTROL, FakeFleet
 from redwingstream.tables.edits import (
     Edits,
@@ -24,37 +24,36 @@
 
 @pytest.mark.looptime
 class TestLeader:
-    async def test_follows_the_name_in_a_refusal(self):
+    async def test_asks_leader_named_in_refusal(self):
         fleet = FakeFleet(leader=CONTROL[2], named=CONTROL[2])
         read = await make_client(fleet).read_tables()
         assert read.config_revision == 7
         assert fleet.asked == [CONTROL[0], CONTROL[2]]
 
-    async def test_finds_the_leader_in_the_text_of_a_replica(self):
-        # An operator's change waits for one try more than it has to: the
-        # tool looked for the leader at the end of the refusal only, and a
-        # replica names it in the middle.
+    async def test_finds_leader_in_the_middle_of_a_refusal(self):
+        # A replica names the leader in the middle of its refusal.  A search
+        # at the end of the text only would cost one attempt more.
         text = f'this replica does not lead; {CONTROL[2]} does'
         fleet = FakeFleet(leader=CONTROL[2], refusal=text)
         await make_client(fleet).read_tables()
         assert fleet.asked == [CONTROL[0], CONTROL[2]]
 
-    async def test_tries_the_next_when_no_leader_is_named(self):
+    async def test_asks_next_instance_if_no_leader_is_named(self):
         fleet = FakeFleet(leader=CONTROL[2], named=None)
         await make_client(fleet).read_tables()
         assert fleet.asked == list(CONTROL)
 
-    async def test_named_leader_of_long_ago(self):
-        # An operator asks while one instance is cut off.  The instances that
-        # answer still name it, it does not answer, and the real leader is the
-        # third.  The tool must not go back and forth between the first two.
+    async def test_former_leader_named(self):
+        # One instance is cut off, and those that answer still name it as the
+        # leader; the real leader is the third.  The tool must not alternate
+        # between the first two.
         fleet = FakeFleet(
             leader=CONTROL[2], named=CONTROL[1], silent={CONTROL[1]}
         )
         await make_client(fleet).read_tables()
         assert fleet.asked[-1] == CONTROL[2]
 
-    async def test_gives_up_in_time(self):
+    async def test_gives_up_after_timeout(self):
         fleet = FakeFleet(silent=set(CONTROL))
         with pytest.raises(CallFailedError) as caught:
             await make_client(fleet).read_tables()
@@ -70,10 +69,10 @@
         assert answer.revision == 8
         assert fleet.accepted[0].edits == EDITS
 
-    async def test_lost_answer_is_no_second_change(self):
+    async def test_lost_answer_makes_no_second_change(self):
         # The change is accepted, its answer is lost, and the tool repeats it.
-        # With a fresh request id the repeat would be a conflict with itself,
-        # and an operator would believe that somebody else had been faster.
+        # With a new request id the repeat would conflict with the change
+        # itself, and look like a conflict with another operator's change.
         fleet = FakeFleet(lost_answers=2)
         answer = await make_client(fleet).change(EDITS, based_on=7)
         assert answer.revision == 8
@@ -94,11 +93,14 @@
 
 @pytest.mark.looptime
 class TestWaitInForce:
-    async def test_nobody_lags(self):
+    async def test_no_process_lags(self):
         client = make_client(FakeFleet())
         assert await client.wait_in_force(7, (*CONTROL, AGENT)) == ()
 
-    async def test_says_who_lags_and_who_is_silent(self):
+    async def test_returns_lagging_and_silent_processes(self):
         fleet = FakeFleet(silent={CONTROL[1]}, agent_revision=6)
         lagging = await make_client(fleet).wait_in_force(7, (*CONTROL, AGENT))
-        assert lagging == (Laggard(CONTROL[1], None), Laggard(AGENT, 6))
+        assert lagging == (
+            LaggingProcess(CONTROL[1], None),
+            LaggingProcess(AGENT, 6),
+        )
--- a/redwingstream/operators/tests/test_explain.py
+++ b/redwingstream/operators/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests of saying where a caller's traffic goes."""
+"""Tests of explaining where a caller's traffic goes."""
 
 import attrs
 import pytest
@@ -6,7 +6,7 @@
 from redwingstream.endpoints import Endpoint, parse_endpoint
 from redwingstream.errors import ResultCode
 from redwingstream.operators.explain import explain
-from redwingstream.operators.reports import explanation_lines
+from redwingstream.operators.status_output import explanation_lines
 from redwingstream.operators.tests.fakes import SERVICE, make_tables
 from redwingstream.tables.rows import PoolView, ZoneMark
 
@@ -20,16 +20,16 @@
 
 
 class TestExplain:
-    def test_whole_way(self):
-        told = explain_with()
-        assert told.code is ResultCode.OK
-        assert (told.pool, told.home, told.heir) == (
+    def test_complete_path(self):
+        explanation = explain_with()
+        assert explanation.code is ResultCode.OK
+        assert (explanation.pool, explanation.home, explanation.heir) == (
             'sward-live',
             'sward-1',
             '',
         )
-        assert told.bucket is not None
-        assert any('sward-1' in line for line in explanation_lines(told))
+        assert explanation.bucket is not None
+        assert any('sward-1' in line for line in explanation_lines(explanation))
 
     @pytest.mark.parametrize(
         ('changed', 'code'),
@@ -42,8 +42,8 @@
     def test_names_the_missing_step(self, changed, code):
         assert explain_with(**changed).code is code
 
-    def test_says_that_the_zone_is_out(self):
+    def test_names_the_zone_that_is_out(self):
         empty = {'sward-live': PoolView('sward-live', 8, ())}
         marks = {'carse': ZoneMark('carse', out=True)}
-        told = explain_with(view_by_pool=empty, zone_by_name=marks)
-        assert told.reasons[-1].endswith('sward-1: zone carse is out')
+        explanation = explain_with(view_by_pool=empty, zone_by_name=marks)
+        assert explanation.reasons[-1].endswith('sward-1: zone carse is out')
--- a/redwingstream/operators/tests/test_story.py
+++ b/redwingstream/operators/tests/test_flow_history.py
@@ -1,4 +1,4 @@
-"""The story of a flow, from recorded lines of three kinds of failed request."""
+"""Tests of the history of a flow, with log lines of three failed requests."""
 
 import json
 import random
@@ -7,7 +7,11 @@
 from cleo.testers.application_tester import ApplicationTester
 
 from redwingstream.errors import ResultCode
-from redwingstream.operators.story import read_lines, story_lines, story_of
+from redwingstream.operators.flow_history import (
+    build_history,
+    history_lines,
+    read_lines,
+)
 from redwingstream.operators.tool import make_application
 
 FLOW = '100.64.0.7:40001>198.18.0.1:443'
@@ -63,7 +67,7 @@
         left_out_before=4,
     ),
 ]
-OPENED_THEN_SILENT = [
+OPENED_WITHOUT_ANSWER = [
     _tables(1, 'front-1', 'balancer'),
     _tables(1, 'side-1', 'agent'),
     _line(
@@ -130,60 +134,60 @@
 ]
 
 
-def _story(lines: list[str], flow: str = FLOW):
+def _history(lines: list[str], flow: str = FLOW):
     shuffled = list(lines)
     random.Random(1).shuffle(shuffled)
-    return story_of(read_lines(shuffled), flow)
+    return build_history(read_lines(shuffled), flow)
 
 
 class TestFailedRequests:
-    """Three kinds of failed request."""
+    """A request that was never opened, one that got no answer, one refused."""
 
     def test_never_opened(self) -> None:
-        story = _story(NEVER_OPENED)
-        assert story.verdict == 'dropped without an answer'
-        assert story.steps[0].known == ('no tables yet',)
-        assert story.left_out == 4
-
-    def test_opened_and_went_silent(self) -> None:
-        story = _story(OPENED_THEN_SILENT)
-        assert story.verdict == 'opened, then lost by its server'
-        events = [step.line.event for step in story.steps]
+        history = _history(NEVER_OPENED)
+        assert history.verdict == 'dropped without an answer'
+        assert history.steps[0].known == ('no tables yet',)
+        assert history.left_out == 4
+
+    def test_opened_without_answer(self) -> None:
+        history = _history(OPENED_WITHOUT_ANSWER)
+        assert history.verdict == 'opened, then lost by its server'
+        events = [step.line.event for step in history.steps]
         assert events == ['flow_sent', 'flow_opened', 'flow_lost']
-        assert 'server i-1 ready, so since 0.5 s' in story.steps[1].known
+        assert 'server i-1 ready, so since 0.5 s' in history.steps[1].known
 
     def test_refused(self) -> None:
-        story = _story(REFUSED)
-        assert story.verdict == 'refused at once'
-        assert 'cold' in story.steps[-1].text
-        assert 'no control instance answered' in story.steps[0].known[0]
+        history = _history(REFUSED)
+        assert history.verdict == 'refused at once'
+        assert 'cold' in history.steps[-1].text
+        assert 'no control instance answered' in history.steps[0].known[0]
 
 
 class TestReading:
-    """What logs contain besides."""
+    """Lines that are not events of the flow, and prefixes of lines."""
 
-    def test_what_stands_in_front_is_passed_over(self) -> None:
-        lines = [f'  37.7 front-1 {line}' for line in OPENED_THEN_SILENT]
-        assert len(_story(lines).steps) == 3
+    def test_prefixes_are_skipped(self) -> None:
+        lines = [f'  37.7 front-1 {line}' for line in OPENED_WITHOUT_ANSWER]
+        assert len(_history(lines).steps) == 3
 
     @pytest.mark.parametrize(
         'text', ['', 'Traceback', '{"time":1', '{"time":"x"}', '{"time":[]}']
     )
-    def test_other_lines_are_passed_over(self, text) -> None:
+    def test_other_lines_are_skipped(self, text) -> None:
         assert not list(read_lines([text]))
 
-    def test_other_flows_are_left_alone(self) -> None:
-        story = _story(OPENED_THEN_SILENT, OTHER)
-        assert not story.steps
-        assert 'no line tells of this flow' in story_lines(story)[0]
+    def test_other_flows_are_skipped(self) -> None:
+        history = _history(OPENED_WITHOUT_ANSWER, OTHER)
+        assert not history.steps
+        assert 'no line tells of this flow' in history_lines(history)[0]
 
 
 class TestCommand:
     """`redwingstream explain logs`."""
 
-    def test_prints_the_story(self, tmp_path) -> None:
+    def test_prints_the_history(self, tmp_path) -> None:
         path = tmp_path / 'log'
-        path.write_text('\n'.join(OPENED_THEN_SILENT))
+        path.write_text('\n'.join(OPENED_WITHOUT_ANSWER))
         tester = ApplicationTester(make_application())
         code = tester.execute(f'explain logs {FLOW} {path}')
         assert code == ResultCode.OK
@@ -191,7 +195,7 @@
         assert 'opened, then lost by its server' in shown
         assert '+6.000 s  agent side-1' in shown
 
-    def test_says_when_nothing_is_known(self, tmp_path) -> None:
+    def test_unknown_flow_has_its_exit_code(self, tmp_path) -> None:
         path = tmp_path / 'log'
         path.write_text('')
         tester = ApplicationTester(make_application())
@@ -200,16 +204,16 @@
 
 
 class TestRestartedProcess:
-    """A process that was started again."""
+    """A process that was restarted."""
 
-    def test_knows_nothing_of_its_earlier_run(self) -> None:
-        """An engineer takes a balancer without tables for one that had them.
+    def test_state_of_earlier_run_is_not_shown(self) -> None:
+        """Guards against showing tables that a process has lost by a restart.
 
-        All instances lose power; the balancer drops a packet in its first
-        moments, and its lines of before the loss name tables.
+        After a loss of power the balancer drops a packet before it has any
+        tables, while the log lines of its earlier run name tables.
         """
         lines = [_tables(1, 'front-1', 'balancer'), *NEVER_OPENED]
         lines[1] = _started(1.5, 'front-1', 'balancer')
-        shown = story_lines(story_of(read_lines(lines), FLOW))
+        shown = history_lines(build_history(read_lines(lines), FLOW))
         assert not any('revision 15' in line for line in shown)
         assert any('no tables yet' in line for line in shown)
--- a/redwingstream/operators/tests/test_overview.py
+++ b/redwingstream/operators/tests/test_overview.py
@@ -3,16 +3,16 @@
 import pytest
 
 from redwingstream.operators.client import ControlClient
-from redwingstream.operators.overview import take_overview
-from redwingstream.operators.reports import overview_lines
+from redwingstream.operators.overview import collect_overview
+from redwingstream.operators.status_output import overview_lines
 from redwingstream.operators.tests.fakes import CONTROL, FakeFleet
 
 
 @pytest.mark.looptime
 class TestOverview:
-    async def test_says_who_lags_and_who_is_silent(self):
+    async def test_shows_lagging_and_silent_processes(self):
         fleet = FakeFleet(silent={CONTROL[2]}, agent_revision=6)
-        overview = await take_overview(ControlClient(fleet, CONTROL, 10))
+        overview = await collect_overview(ControlClient(fleet, CONTROL, 10))
         lagging = [process.lags for process in overview.processes]
         assert lagging == [False, False, True, True]
         assert overview.zones_out == ('strathmore',)
--- a/redwingstream/operators/tests/test_plans.py
+++ b/redwingstream/operators/tests/test_plans.py
@@ -1,4 +1,4 @@
-"""Tests of reading a file of tables and comparing it."""
+"""Tests of reading a file of tables and comparing it with the tables."""
 
 import json
 
@@ -36,7 +36,7 @@
 
 
 class TestMakePlan:
-    def test_named_tables_are_replaced_whole(self, write):
+    def test_named_tables_are_replaced_as_a_whole(self, write):
         plan = make_plan(make_tables(), read_tables_file(write(TOML)))
         signs = [(row.sign, row.table, row.key) for row in plan.differences]
         assert signs == [
@@ -46,10 +46,11 @@
         ]
         assert len(plan.edits.in_order()) == 3
 
-    def test_removals_have_one_order(self, write):
-        # An operator sends a plan again whose answer was lost, with its
-        # request id.  Python orders sets of texts differently in each
-        # process, so that the edits differed and the id counted as reused.
+    def test_removals_are_sorted(self, write):
+        # An operator repeats a plan whose answer was lost, under its request
+        # id.  Python orders sets of strings differently in each process: with
+        # unsorted removals the edits would differ, and the repeat would be
+        # refused as a reuse of the id.
         tables = make_tables()
         marks = {f'z{number}': ZoneMark(f'z{number}', True) for number in RANGE}
         tables = attrs.evolve(tables, zone_by_name=marks)
@@ -59,7 +60,7 @@
         ]
         assert removed == sorted(marks)
 
-    def test_tables_left_out_stay(self, write):
+    def test_omitted_tables_are_not_changed(self, write):
         wanted = read_tables_file(write('{"zones": []}', 'tables.json'))
         plan = make_plan(make_tables(), wanted)
         assert [row.key for row in plan.differences] == ['strathmore']
@@ -98,7 +99,7 @@
             ('not toml', 'tables'),
         ],
     )
-    def test_refuses_bad_rows(self, write, text, named):
+    def test_rejects_invalid_rows(self, write, text, named):
         with pytest.raises(SettingError, match=named) as caught:
             read_tables_file(write(text))
         assert caught.value.code is ResultCode.BAD_ROW
--- a/redwingstream/operators/tests/test_tool.py
+++ b/redwingstream/operators/tests/test_tool.py
@@ -1,4 +1,4 @@
-"""Tests of the tool as a process, against a control instance of one call."""
+"""Tests of the tool as a process, against one fake control instance."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def key_path(tmp_path):
-    """A key file as it should be."""
+    """Return the path of a valid key file."""
     path = tmp_path / 'key'
     path.write_bytes(KEY)
     path.chmod(0o600)
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 async def run_tool(key_path):
-    """Return a function that runs the tool against a fake control."""
+    """Return a function that runs the tool against a fake control instance."""
     endpoint = free_endpoint()
     fleet = FakeFleet(leader=endpoint)
     fleet.tables = attrs.evolve(fleet.tables, member_by_host={})
@@ -73,7 +73,7 @@
 
 
 class TestTool:
-    async def test_a_change_and_a_look(self, run_tool):
+    async def test_change_then_list(self, run_tool):
         code, output, _ = await run_tool('zone', 'out', 'carse', '--wait')
         assert code == ResultCode.OK
         assert output.splitlines() == [
@@ -84,7 +84,7 @@
         assert code == ResultCode.OK
         assert json.loads(output)[0]['name'] == 'sward-live'
 
-    async def test_apply_asks_first(self, run_tool, tmp_path):
+    async def test_apply_asks_for_confirmation(self, run_tool, tmp_path):
         path = tmp_path / 'tables.toml'
         path.write_text('zones = []')
         code, output, errors = await run_tool('apply', str(path))
@@ -95,7 +95,7 @@
         assert code == ResultCode.OK
         assert json.loads(output)['revision'] == 8
 
-    async def test_dump_is_indented_for_people_only(self, run_tool):
+    async def test_dump_is_indented_unless_json(self, run_tool):
         code, output, _ = await run_tool('dump', '127.0.0.1:1')
         assert code == ResultCode.TIMED_OUT
         code, output, _ = await run_tool('dump', run_tool.endpoint)
@@ -103,7 +103,7 @@
         code, output, _ = await run_tool('dump', run_tool.endpoint, '--json')
         assert (code, output.count('\n')) == (ResultCode.OK, 1)
 
-    async def test_settings_are_checked(self, run_tool, key_path):
+    async def test_settings_are_validated(self, run_tool, key_path):
         code, _, errors = await run_tool('status', '--timeout', 'soon')
         assert code == ResultCode.BAD_SETTING
         assert "--timeout has value 'soon'" in errors
@@ -112,7 +112,7 @@
         assert code == ResultCode.KEY_FILE_OPEN
         assert json.loads(output)['name'] == 'KEY_FILE_OPEN'
 
-    async def test_conflict_has_its_code(self, run_tool):
+    async def test_conflict_has_its_exit_code(self, run_tool):
         code, _, errors = await run_tool('drain', 'a', '--based-on', '3')
         assert code == ResultCode.CONFLICT
         assert 'current revision 7' in errors
--- a/redwingstream/operators/tool.py
+++ b/redwingstream/operators/tool.py
@@ -1,4 +1,4 @@
-"""The command-line tool ``redwingstream``."""
+"""Entry point of the command-line tool ``redwingstream``."""
 
 import sys
 
@@ -56,12 +56,12 @@
 
 
 def run_tool(application: Application) -> int:
-    """Run a command line; return the number of its result code.
+    """Run the command line; return the number of its result code.
 
     Notes
     -----
-    The library's own exit code for a mistyped command is 1, which is
-    ``INTERNAL`` here, so its errors are turned into ``BAD_SETTING``.
+    The exit code of ``cleo`` for a mistyped command is 1, which means
+    ``INTERNAL`` here, so its errors are reported as ``BAD_SETTING``.
     """
     application.auto_exits(auto_exits=False)
     application.catch_exceptions(catch_exceptions=False)
--- a/redwingstream/settings/__init__.py
+++ b/redwingstream/settings/__init__.py
@@ -1,15 +1,15 @@
-"""Settings of the daemon's roles: flags and environment variables, checked.
+"""Settings of the daemon's roles, from flags and environment variables.
 
 Modules
 -------
 parsers
-    Reads the text of one value.
-reading
-    How a setting is described, found and checked.
+    Parsers that turn the text of one setting into a validated value.
+reader
+    Describes a setting and reads all settings of a class.
 roles
-    The settings of each role.
+    One settings class for each role.
 flags
-    Settings as flags of a command line.
+    Command-line options for the settings of a class.
 reference
-    The page of the documentation that lists them.
+    Generates the documentation page that lists all settings.
 """
--- a/redwingstream/settings/flags.py
+++ b/redwingstream/settings/flags.py
@@ -1,4 +1,4 @@
-"""Settings as flags of a command line."""
+"""Command-line options for the settings of a class."""
 
 from typing import Any
 
@@ -6,11 +6,11 @@
 from cleo.commands.command import Command
 from cleo.helpers import option
 
-from redwingstream.settings.reader import flag_of, info_of, variable_name
+from redwingstream.settings.reader import flag_name, setting_info, variable_name
 
 
 def options_for(settings_class: type[Any]) -> list[Any]:
-    """Return the command-line options of a settings class.
+    """Return the command-line options for a settings class.
 
     Parameters
     ----------
@@ -21,14 +21,15 @@
     Returns
     -------
     list of cleo.io.inputs.option.Option
-        One for each field; its help names the allowed values and the
+        One for each field.  Its help text names the allowed values and the
         environment variable.
     """
     return [
         option(
-            flag_of(field.name),
+            flag_name(field.name),
             description=(
-                f'{info_of(field).help} Allowed: {info_of(field).allowed}. '
+                f'{setting_info(field).help} Allowed: '
+                f'{setting_info(field).allowed}. '
                 f'Environment: {variable_name(field.name)}.'
             ),
             flag=False,
@@ -40,16 +41,21 @@
 def flag_values(
     command: Command, settings_class: type[Any]
 ) -> dict[str, str | None]:
-    """Return the text of each setting's flag; None for one not given.
+    """Return the text that was given for each flag, by flag name.
 
     Parameters
     ----------
     command : Command
-        A command whose options are those of :func:`options_of`.
+        A command whose options include those of :func:`options_for`.
     settings_class : type
-        The same class.
+        The class whose options the command has.
+
+    Returns
+    -------
+    dict
+        Text by flag name; None for a flag that was not given.
     """
     return {
-        flag_of(field.name): command.option(flag_of(field.name))
+        flag_name(field.name): command.option(flag_name(field.name))
         for field in attrs.fields(settings_class)
     }
--- a/redwingstream/settings/parsers.py
+++ b/redwingstream/settings/parsers.py
@@ -1,8 +1,9 @@
-"""Reads the text of one value.
+"""Parsers that turn the text of one setting into a validated value.
 
-Every function here raises :class:`~redwingstream.errors.SettingError` or
-``ValueError`` when the text is not allowed; ``read_settings`` adds the name of
-the setting and the way out.
+Every parser raises :class:`~redwingstream.errors.SettingError` or
+``ValueError`` when the text is not allowed.
+:func:`~redwingstream.settings.reader.read_settings` adds the name of the
+setting and how to correct it.
 """
 
 from collections.abc import Mapping
@@ -13,6 +14,8 @@
 from redwingstream.wire.frames import KEY_SIZE_MAX, KEY_SIZE_MIN
 
 MAX_NAME = 64
+"""Maximum length of a name in characters."""
+
 MAX_COUNT = 1000000
 ENDPOINT_ALLOWED = 'IP:PORT, for instance 127.0.0.1:7000'
 ENDPOINTS_ALLOWED = 'comma-separated IP:PORT'
@@ -28,21 +31,27 @@
 
 
 def parse_name(text: str) -> str:
-    """Read the name of a host, a zone or a pool; white space round it goes."""
+    """Parse the name of a host, zone or pool; strip white space around it."""
     stripped = text.strip()
     is_plain = stripped.replace('-', '').replace('_', '').isalnum()
     if not is_plain or len(stripped) > MAX_NAME:
-        raise SettingError(f'{text!r} is no name; allowed: {NAME_ALLOWED}')
+        raise SettingError(
+            f'{text!r} is not a valid name; allowed: {NAME_ALLOWED}'
+        )
     return stripped
 
 
 def parse_endpoints(text: str) -> tuple[Endpoint, ...]:
-    """Read a comma-separated list of endpoints, one at least."""
+    """Parse a comma-separated list of at least one endpoint."""
     return tuple(parse_endpoint(part.strip()) for part in text.split(','))
 
 
 def parse_replicas(text: str) -> Mapping[str, Endpoint]:
-    """Read ``name=IP:PORT,...``: all control instances, this one included."""
+    """Parse ``name=IP:PORT,...``: all control instances, this one included.
+
+    Neither a name nor an endpoint may occur twice: a duplicate would leave the
+    group with fewer replicas than the operator listed.
+    """
     endpoint_by_host: dict[str, Endpoint] = {}
     for part in text.split(','):
         name, _, endpoint = part.strip().partition('=')
@@ -55,7 +64,7 @@
 
 
 def parse_weight(text: str) -> int:
-    """Read a weight."""
+    """Parse a weight from 1 to ``MAX_WEIGHT``."""
     weight = int(text)
     if not 0 < weight <= MAX_WEIGHT:
         raise SettingError(
@@ -65,7 +74,7 @@
 
 
 def parse_count(text: str) -> int:
-    """Read a positive number of things."""
+    """Parse an integer from 1 to ``MAX_COUNT``."""
     count = int(text)
     if not 0 < count <= MAX_COUNT:
         raise SettingError(
@@ -75,7 +84,7 @@
 
 
 def parse_seconds(text: str) -> float:
-    """Read a positive number of seconds."""
+    """Parse a positive, finite number of seconds."""
     seconds = float(text)
     if not 0 < seconds < float('inf'):
         raise SettingError(f'{text!r} is not {SECONDS_ALLOWED}')
--- a/redwingstream/settings/reader.py
+++ b/redwingstream/settings/reader.py
@@ -1,8 +1,9 @@
-"""How a setting is described, found and checked.
+"""Describes settings and reads them from flags and environment variables.
 
-Each setting is a field of an ``attrs`` class whose metadata says how it is
-read and what is allowed.  A flag ``--data-folder`` has the environment variable
-``REDWINGSTREAM_DATA_FOLDER``; the flag goes first.
+Each setting is a field of an ``attrs`` class.  The metadata of the field holds
+its parser and the description of its allowed values.  The setting of field
+``data_folder`` has the flag ``--data-folder`` and the environment variable
+``REDWINGSTREAM_DATA_FOLDER``; the flag takes precedence.
 """
 
 from collections.abc import Callable, Mapping
@@ -19,16 +20,17 @@
 
 @attrs.frozen
 class SettingInfo:
-    """How one setting is read and described.
+    """Parser and description of one setting.
 
     Parameters
     ----------
     parse : callable
-        Takes the text; raises :class:`SettingError` or ``ValueError``.
+        Converts the text into the value; raises :class:`SettingError` or
+        ``ValueError`` when the text is not allowed.
     allowed : str
-        Which values are allowed, for help and for errors.
+        Description of the allowed values, for help texts and errors.
     help : str
-        What the setting is for.
+        Purpose of the setting, for help texts.
     """
 
     parse: Callable[[str], Any]
@@ -42,32 +44,32 @@
     help_text: str,
     default: Any = attrs.NOTHING,
 ) -> Any:
-    """Return an ``attrs`` field that is a setting.
+    """Return an ``attrs`` field that describes a setting.
 
     Parameters
     ----------
     parse, allowed, help_text
         As in :class:`SettingInfo`.
     default : object, optional
-        Value when neither flag nor variable is given; without it the setting
-        is required.
+        Value when neither the flag nor the environment variable is given.
+        Without a default the setting is required.
     """
     info = SettingInfo(parse, allowed, help_text)
     return attrs.field(default=default, metadata={'setting': info})
 
 
-def flag_of(field_name: str) -> str:
-    """Return the flag of a setting, without the leading dashes."""
+def flag_name(field_name: str) -> str:
+    """Return the flag name of a setting, without the leading dashes."""
     return field_name.replace('_', '-')
 
 
 def variable_name(field_name: str) -> str:
-    """Return the environment variable of a setting."""
+    """Return the name of the environment variable of a setting."""
     return ENVIRONMENT_PREFIX + field_name.upper()
 
 
-def info_of(field: 'attrs.Attribute[Any]') -> SettingInfo:
-    """Return how a field's setting is read."""
+def setting_info(field: 'attrs.Attribute[Any]') -> SettingInfo:
+    """Return the parser and description that a settings field holds."""
     info: SettingInfo = field.metadata['setting']
     return info
 
@@ -77,7 +79,7 @@
     flags: Mapping[str, str | None],
     environ: Mapping[str, str],
 ) -> SettingsT:
-    """Make a settings object from flags and environment variables.
+    """Read all settings of a class from flags and environment variables.
 
     Parameters
     ----------
@@ -86,41 +88,43 @@
     flags : mapping
         Text by flag name; None for a flag that was not given.
     environ : mapping
-        The environment.
+        The environment variables.
 
     Returns
     -------
     object
-        The settings, all checked.
+        An instance of ``settings_class`` with validated values.
 
     Raises
     ------
     SettingError
-        Naming the setting, the value met, what is allowed and the way out.
+        If a required setting is missing or a value is not allowed.  The
+        message names the setting, its value, the allowed values and how to
+        correct it.
     """
-    found: dict[str, Any] = {}
+    value_by_field: dict[str, Any] = {}
     for field in attrs.fields(settings_class):
-        text = flags.get(flag_of(field.name))
+        text = flags.get(flag_name(field.name))
         if text is None:
             text = environ.get(variable_name(field.name))
         if text is not None:
-            found[field.name] = _parse_one(field, text)
+            value_by_field[field.name] = _parse_one(field, text)
         elif field.default is attrs.NOTHING:
             raise SettingError(
-                f'setting --{flag_of(field.name)} is missing; allowed: '
-                f'{info_of(field).allowed}; give the flag or set '
+                f'setting --{flag_name(field.name)} is missing; allowed: '
+                f'{setting_info(field).allowed}; give the flag or set '
                 f'{variable_name(field.name)}',
             )
-    return settings_class(**found)
+    return settings_class(**value_by_field)
 
 
 def _parse_one(field: 'attrs.Attribute[Any]', text: str) -> Any:
-    info = info_of(field)
+    info = setting_info(field)
     try:
         return info.parse(text)
     except (SettingError, ValueError) as error:
         raise SettingError(
-            f'setting --{flag_of(field.name)} has value {text!r}; allowed: '
+            f'setting --{flag_name(field.name)} has value {text!r}; allowed: '
             f'{info.allowed}; correct the flag or '
             f'{variable_name(field.name)} ({error})',
         ) from error
--- a/redwingstream/settings/roles.py
+++ b/redwingstream/settings/roles.py
@@ -1,4 +1,7 @@
-"""The settings of each role."""
+"""Settings classes of the daemon's roles.
+
+The help texts and allowed values below also appear in ``docs/settings.md``.
+"""
 
 import pathlib
 from collections.abc import Mapping
@@ -26,13 +29,13 @@
 from redwingstream.tables.rows import DEFAULT_WEIGHT
 
 DEFAULT_DRAIN_SECONDS = 30
-DEFAULT_SLOTS = 64
-DEFAULT_CONNECTIONS = 2000
+DEFAULT_SLOTS = 64  # requests that run at once
+DEFAULT_CONNECTIONS = 2000  # feeds
 
 
 @attrs.frozen(kw_only=True)
 class CommonSettings:
-    """What every role needs to know of itself."""
+    """Settings that every role has."""
 
     host: str = setting(
         parse_name, NAME_ALLOWED, 'Name of the host or instance it runs on.'
@@ -60,7 +63,7 @@
 
 @attrs.frozen(kw_only=True)
 class MemberSettings(CommonSettings):
-    """What the roles that announce themselves need besides."""
+    """Settings of roles that announce themselves to the control instances."""
 
     control: tuple[Endpoint, ...] = setting(
         parse_endpoints,
@@ -157,7 +160,11 @@
 
 @attrs.frozen(kw_only=True)
 class RecoverySettings(ControlRoleSettings):
-    """Settings of the recovery of a control instance."""
+    """Settings of ``recover``.
+
+    The command continues from the data folder of one control instance after a
+    majority of them is lost.
+    """
 
     lose_changes_after: int | None = setting(
         int,
--- a/redwingstream/settings/tests/test_reading.py
+++ b/redwingstream/settings/tests/test_reader.py
@@ -1,4 +1,4 @@
-"""Settings: flags before environment, checked, with clear errors."""
+"""Tests of reading settings: precedence, validation and error messages."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 class TestReadSettings:
-    """From texts to a checked object."""
+    """Reading the settings of a role from flags and the environment."""
 
     def test_reads_flags(self) -> None:
         settings = read_settings(AgentSettings, FLAGS, {})
@@ -27,7 +27,7 @@
         assert len(settings.control) == 2
         assert settings.weight == 100
 
-    def test_a_flag_goes_before_the_environment(self) -> None:
+    def test_flag_takes_precedence_over_environment(self) -> None:
         environ = {
             'REDWINGSTREAM_ZONE': 'strathmore',
             'REDWINGSTREAM_WEIGHT': '50',
@@ -36,7 +36,7 @@
         assert settings.zone == 'carse'
         assert settings.weight == 50
 
-    def test_names_a_missing_setting_and_the_way_out(self) -> None:
+    def test_missing_setting_error_names_flag_and_variable(self) -> None:
         flags = {**FLAGS, 'pool': None}
         with pytest.raises(SettingError, match='--pool.*REDWINGSTREAM_POOL'):
             read_settings(AgentSettings, flags, {})
@@ -57,7 +57,7 @@
             ('control', ''),
         ],
     )
-    def test_names_setting_value_and_what_is_allowed(
+    def test_error_names_setting_value_and_allowed_values(
         self, flag: str, text: str
     ) -> None:
         with pytest.raises(SettingError) as caught:
@@ -66,13 +66,12 @@
         assert f'--{flag} has value {text!r}; allowed: ' in message
 
     @pytest.mark.parametrize('text', ['0.0.0.0:7000', '[::]:7000', '1.2.3.4:0'])
-    def test_refuses_an_endpoint_that_others_cannot_reach(
-        self, text: str
-    ) -> None:
-        """Callers of one server time out, and everything looks well.
+    def test_rejects_unreachable_endpoint(self, text: str) -> None:
+        """Guards against an agent that announces a wildcard address.
 
-        Its agent is set to listen at all addresses.  It announces just that,
-        control admits it, and balancers send its packets to themselves.
+        The control instances would admit the agent, and balancers would send
+        its packets to themselves: callers of its server time out while the
+        agent appears healthy.
         """
         with pytest.raises(SettingError, match='--endpoint'):
             read_settings(AgentSettings, {**FLAGS, 'endpoint': text}, {})
@@ -84,23 +83,26 @@
             'c1=127.0.0.1:7000,c2=127.0.0.1:7000',
         ],
     )
-    def test_refuses_a_replica_that_is_named_twice(self, text: str) -> None:
-        """Three control instances are set, and the loss of one stops changes.
+    def test_rejects_duplicate_replica(self, text: str) -> None:
+        """Guards against a duplicate that silently replaces another replica.
 
-        A name was copied and not changed; the second of the two replaced the
-        first one, so that the group has two replicas.
+        With three control instances configured and one name copied by mistake,
+        the group would have two replicas, and the loss of one would stop all
+        changes.
         """
         flags = {**FLAGS, 'data-folder': 'data', 'replicas': text}
         with pytest.raises(SettingError, match='twice'):
             read_settings(ControlRoleSettings, flags, {})
 
-    def test_says_what_a_name_of_a_replica_is(self) -> None:
+    def test_replica_name_error_names_allowed_values(self) -> None:
         flags = {
             **FLAGS,
             'data-folder': 'data',
             'replicas': 'c 1=127.0.0.1:7000',
         }
-        with pytest.raises(SettingError, match="'c 1' is no name; allowed: "):
+        with pytest.raises(
+            SettingError, match="'c 1' is not a valid name; allowed: "
+        ):
             read_settings(ControlRoleSettings, flags, {})
 
     def test_reads_all_replicas(self) -> None:
--- a/redwingstream/settings/tests/test_reference.py
+++ b/redwingstream/settings/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""The settings reference says what the code does."""
+"""Tests that the settings reference of the documentation is complete."""
 
 import pathlib
 
@@ -9,16 +9,17 @@
 
 
 class TestReference:
-    """The page in the documentation."""
+    """The generated page ``docs/settings.md``."""
 
     def test_is_up_to_date(self) -> None:
         assert PAGE.read_text() == reference_page(), 'run ci/pages'
 
     def test_lists_every_command_of_the_daemon(self) -> None:
-        """An operator with a lost majority finds no setting of ``recover``.
+        """Guards against a command that is missing from the page.
 
-        The page is made from a list of roles.  A command came to the daemon
-        and not to that list, so its settings stood nowhere but in its help.
+        The page is generated from a list of roles.  The settings of a command
+        that is not on that list, such as ``recover``, would be documented only
+        in its help text.
         """
         headings = [
             f'## redwingstreamd {command.name}\n' for command in COMMANDS
