--- a/redwingstream/tables/machine/replacements.py
+++ b/redwingstream/tables/machine/replacements.py
@@ -39,7 +39,7 @@
 PART_SIZE = 12288
 # Maximum number of incomplete replacements; an operator has up to eight in
 # progress.
-MAX_STAGED = 16
+MAX_STAGED_REPLACEMENTS = 16
 _DIGEST_SIZE = 16
 
 
@@ -92,7 +92,7 @@
     # If the leader fails in the middle of a transfer, the operator sends the
     # whole replacement again.  Parts of the first attempt may never be
     # completed and would be kept forever.
-    while len(state.staged_by_digest) > MAX_STAGED:
+    while len(state.staged_by_digest) > MAX_STAGED_REPLACEMENTS:
         state.staged_by_digest.popitem(last=False)
 
 
--- a/redwingstream/tables/rows.py
+++ b/redwingstream/tables/rows.py
@@ -76,7 +76,7 @@
     timeout: float = 0
 
 
-PLAIN_FLOWS = FlowRules()
+DEFAULT_FLOW_RULES = FlowRules()
 
 
 @attrs.frozen
@@ -105,7 +105,7 @@
     @property
     def rules(self) -> FlowRules:
         """Rules for its flows; the defaults if the row has none."""
-        return self.flows or PLAIN_FLOWS
+        return self.flows or DEFAULT_FLOW_RULES
 
     @property
     def pools(self) -> tuple[str, ...]:
