--- a/redwingstream/requests/store.py
+++ b/redwingstream/requests/store.py
@@ -1,4 +1,4 @@
-"""Entries of a ledger, ordered by the start of their retention."""
+"""Entries of a ledger, in the order in which this process added them."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -52,7 +52,7 @@
         return iter(self._by_bucket.get(bucket, {}).values())
 
     def oldest(self) -> Slot | None:
-        """Return the entry whose retention started first."""
+        """Return the entry that was added, or whose retention restarted, first."""
         return next(iter(self._by_identity.values()), None)
 
     def next_to_condense(self) -> Slot | None:
