--- a/redwingstream/requests/store.py
+++ b/redwingstream/requests/store.py
@@ -52,7 +52,7 @@
         return iter(self._by_bucket.get(bucket, {}).values())
 
     def oldest(self) -> Slot | None:
-        """Return the entry that was added, or whose retention restarted, first."""
+        """Return the entry that was added or restarted first."""
         return next(iter(self._by_identity.values()), None)
 
     def next_to_condense(self) -> Slot | None:
