--- a/redwingstream/balancer/__init__.py
+++ b/redwingstream/balancer/__init__.py
@@ -1,1 +1,1 @@
-"""A thin entry instance: from the fabric to the home and back."""
+"""The balancer: passes packets from the fabric to agents and answers back."""
--- a/redwingstream/balancer/forwarder.py
+++ b/redwingstream/balancer/forwarder.py
@@ -1,7 +1,9 @@
-"""Where a caller's packet goes: route, pool, bucket, home.
+"""Decides which agent gets a caller's packet: route, pool, bucket, home.
 
-Decision logic of a balancer, without I/O and clock.  It holds the tables only:
-no flow state that another process needs.
+This is the decision logic of a balancer, without I/O and clock.  It holds the
+tables but no flow state that another process needs.  A bucket is a fixed part
+of a pool's flows, by a keyed hash of caller and service.  Its home is the agent
+that owns it, and its heir is the replica that takes over.
 """
 
 import attrs
@@ -28,38 +30,43 @@
 
 @attrs.frozen
 class Refuse:
-    """Answer the caller at once; see :func:`final_answer`."""
+    """Reject the packet; see :func:`rejection_response`."""
 
     reason: ResultCode
 
 
 @attrs.frozen
 class Drop:
-    """Leave the packet to another balancer: this one has no tables yet.
+    """Drop the packet without an answer, since there are no tables yet.
 
     Notes
     -----
-    Guards against a balancer that has just started while control is away.  To
-    refuse would end feeds whose callers happen to register again through it;
-    the caller's repeat most likely reaches a balancer that has tables.
+    A balancer that starts while no control instance is reachable has no tables.
+    A rejection would end the feeds of callers that register again through it.
+    The caller's retransmission most likely reaches a balancer with tables.
     """
 
 
 Decision = Forward | Refuse | Drop
 
-COME_BACK = 2
-"""Seconds after which a refused caller is asked to come back."""
+RETRY_AFTER_SECONDS = 2
+"""Seconds after which a rejected caller is asked to try again."""
 
 
 class Forwarder:
-    """Decides on callers' packets by the tables that it was given last.
+    """Decides on callers' packets by the newest tables that it was given.
 
     Parameters
     ----------
     balancer : Endpoint
-        Where this balancer takes answers.
+        Endpoint where this balancer receives the answers of agents.
     key : bytes
         Key of the bucket hash, the same in every process.
+
+    Attributes
+    ----------
+    links : PeerLinks
+        Which agents are silent.
     """
 
     def __init__(self, balancer: Endpoint, key: bytes) -> None:
@@ -71,7 +78,7 @@
         self._pairs_by_pool: dict[str, PairTable] = {}
 
     def apply_tables(self, tables: Tables) -> None:
-        """Go by newer tables from now on."""
+        """Replace the tables by newer ones."""
         if tables.route_by_key != self._tables.route_by_key:
             self._routing = Routing(tables.route_by_key)
         old_views = self._tables.view_by_pool
@@ -82,30 +89,32 @@
             self._pairs_by_pool.pop(pool, None)
         self._tables = tables
 
-    def decide(self, way: AddressPair, payload: bytes, now: float) -> Decision:
-        """Return where a packet goes, or why it is refused.
+    def decide(
+        self, addresses: AddressPair, payload: bytes, now: float
+    ) -> Decision:
+        """Return which agent gets a packet, or why none does.
 
         Parameters
         ----------
-        way : Way
-            Caller and service.
+        addresses : AddressPair
+            Addresses of caller and service.
         payload : bytes
             The packet.
         now : float
-            Seconds on the loop's clock.
+            Current time in seconds, by the event loop's clock.
         """
         if not self._tables.revision:
             return Drop()
-        service = str(way.service)
-        route = self._routing.find(service, way.caller)
+        service = str(addresses.service)
+        route = self._routing.find(service, addresses.caller)
         if route is None:
             return Refuse(ResultCode.NO_ROUTE)
         pool = self._tables.pool_by_name.get(route.pool)
         if pool is None:
             return Refuse(ResultCode.NO_POOL)
-        caller = str(way.caller)
+        caller = str(addresses.caller)
         bucket = bucket_of(caller, service, pool.buckets, self._key)
-        agent = self._agent_of(pool.name, bucket, now)
+        agent = self._agent_for(pool.name, bucket, now)
         if agent is None:
             return Refuse(ResultCode.NO_SERVER)
         packet = Packet(
@@ -119,12 +128,12 @@
         self.links.record_sent(agent, now)
         return Forward(agent, packet)
 
-    def _agent_of(self, pool: str, bucket: int, now: float) -> Endpoint | None:
+    def _agent_for(self, pool: str, bucket: int, now: float) -> Endpoint | None:
         """Return the home of a bucket, or the heir of a silent home.
 
-        The heir serves what is idempotent and refuses the rest until control
-        has replaced the home, so a dead home costs a caller one repeat and not
-        the whole time until the lease ends.
+        The heir serves idempotent requests and rejects others until control
+        has replaced the home.  So a dead home costs a caller one retransmission
+        and not the whole time until its lease ends.
         """
         pairs = self._pairs_by_pool.get(pool)
         if pairs is None:
@@ -139,16 +148,23 @@
 
 
 def rejection_response(request: Message, reason: ResultCode) -> Message:
-    """Return what a caller is told whose request no agent is found for.
+    """Return the response to a request that no agent is found for.
+
+    Parameters
+    ----------
+    request : Message
+        The caller's CoAP request.
+    reason : ResultCode
+        Why no agent is found.
 
     Notes
     -----
-    Guards against a false *not run*: the request may be the replay of one that
-    another balancer has passed on, or that this one did before its tables
-    changed, and it may have run.  It shows when a route or a pool has just
-    been removed.  Of an idempotent one the answer concerns the copy in hand,
-    and to run it once more does no harm.
+    A request that is not idempotent must not be answered with *not run*.  It
+    may be a copy of one that another balancer has forwarded, or this one before
+    its tables changed, and that one may have run.  This happens when a route or
+    a pool has just been removed.  For an idempotent request the response
+    concerns this copy only, and running it again does no harm.
     """
     if coap.is_idempotent(request):
-        return coap.refusal(request, reason, COME_BACK)
+        return coap.refusal(request, reason, RETRY_AFTER_SECONDS)
     return coap.unknown_outcome(request, reason)
--- a/redwingstream/balancer/tests/test_forwarder.py
+++ b/redwingstream/balancer/tests/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Where a caller's packet goes, and why one is refused."""
+"""Tests of the balancer's decisions: which agent gets a packet, or why none."""
 
 import pytest
 
@@ -20,7 +20,7 @@
 KEY = b'k' * 32
 SERVICE = '127.0.0.1:5683'
 POOL = 'sward-live'
-WAY = AddressPair(Endpoint('10.0.0.1', 4000), parse_endpoint(SERVICE))
+ADDRESSES = AddressPair(Endpoint('10.0.0.1', 4000), parse_endpoint(SERVICE))
 MEMBERS = tuple(
     ViewMember(f'host-{number}', 1, f'127.0.1.{number}:7000', zone)
     for number, zone in enumerate(('carse', 'carse', 'strathmore'))
@@ -33,7 +33,7 @@
     has_pool: bool = True,
     members: tuple[ViewMember, ...] = MEMBERS,
 ) -> Tables:
-    """Return tables with one service."""
+    """Return tables with one route and one pool."""
     route = Route(SERVICE, POOL)
     return Tables(
         revision=3,
@@ -44,19 +44,19 @@
 
 
 def forwarder_with(tables: Tables) -> Forwarder:
-    """Return a forwarder that goes by some tables."""
+    """Return a forwarder with the given tables."""
     forwarder = Forwarder(Endpoint('127.0.2.1', 7000), KEY)
     forwarder.apply_tables(tables)
     return forwarder
 
 
 class TestForwarder:
-    """Route, pool, bucket, home."""
+    """Route, pool, bucket and home are found, or the packet is rejected."""
 
     def test_sends_to_the_home(self) -> None:
-        decision = forwarder_with(tables_of()).decide(WAY, b'packet', 0)
+        decision = forwarder_with(tables_of()).decide(ADDRESSES, b'packet', 0)
         assert isinstance(decision, Forward)
-        bucket = bucket_of(str(WAY.caller), SERVICE, DEFAULT_BUCKETS, KEY)
+        bucket = bucket_of(str(ADDRESSES.caller), SERVICE, DEFAULT_BUCKETS, KEY)
         home = pair_of(MEMBERS, POOL, bucket).home
         assert home is not None
         assert str(decision.agent) == home.endpoint
@@ -71,44 +71,46 @@
             (tables_of(members=()), ResultCode.NO_SERVER),
         ],
     )
-    def test_explains_a_refusal(
+    def test_gives_the_reason_of_a_rejection(
         self, tables: Tables, reason: ResultCode
     ) -> None:
-        decision = forwarder_with(tables).decide(WAY, b'packet', 0)
+        decision = forwarder_with(tables).decide(ADDRESSES, b'packet', 0)
         assert decision == Refuse(reason)
 
-    def test_drops_what_comes_before_the_first_tables(self) -> None:
-        """A feed ends because its caller registered again at the wrong time.
+    def test_drops_packets_before_the_first_tables(self) -> None:
+        """A balancer without tables must not reject a packet.
 
-        Control is away.  A balancer restarts and has no tables yet; the fabric
-        hands it a repeated registration, and it answered 5.03, no route.
+        A balancer restarts while no control instance is reachable and gets a
+        repeated registration of a feed.  If it answered 5.03 (no route), the
+        feed would end.
         """
-        assert forwarder_with(Tables()).decide(WAY, b'', 0) == Drop()
+        assert forwarder_with(Tables()).decide(ADDRESSES, b'', 0) == Drop()
 
     def test_two_balancers_choose_the_same_home(self) -> None:
-        first = forwarder_with(tables_of()).decide(WAY, b'', 0)
-        second = forwarder_with(tables_of()).decide(WAY, b'', 5)
+        first = forwarder_with(tables_of()).decide(ADDRESSES, b'', 0)
+        second = forwarder_with(tables_of()).decide(ADDRESSES, b'', 5)
         assert isinstance(first, Forward)
         assert isinstance(second, Forward)
         assert first.agent == second.agent
 
     def test_sends_to_the_heir_of_a_silent_home(self) -> None:
-        """A dead home swallows an adviser's request for the whole lease.
+        """A caller must not wait for the whole lease of a dead home.
 
-        The home is killed.  Balancers know only the committed view, in which
-        it stays until control has missed its heartbeats for three seconds.
+        The home is killed.  It stays in the committed view, the only one that
+        balancers know, until control has missed its heartbeats for three
+        seconds.
         """
         forwarder = forwarder_with(tables_of())
-        first = forwarder.decide(WAY, b'', 0)
-        later = forwarder.decide(WAY, b'', SILENT_AFTER + 1)
+        first = forwarder.decide(ADDRESSES, b'', 0)
+        later = forwarder.decide(ADDRESSES, b'', SILENT_AFTER + 1)
         assert isinstance(first, Forward)
         assert isinstance(later, Forward)
         assert later.agent != first.agent
         forwarder.links.record_heard(first.agent)
-        assert forwarder.decide(WAY, b'', SILENT_AFTER + 2) == first
+        assert forwarder.decide(ADDRESSES, b'', SILENT_AFTER + 2) == first
 
-    def test_forgets_a_pool_that_was_removed(self) -> None:
+    def test_drops_a_pool_that_was_removed(self) -> None:
         forwarder = forwarder_with(tables_of())
         forwarder.apply_tables(Tables(revision=4))
-        decision = forwarder.decide(WAY, b'', 0)
+        decision = forwarder.decide(ADDRESSES, b'', 0)
         assert decision == Refuse(ResultCode.NO_ROUTE)
--- a/redwingstream/balancer/tests/test_role.py
+++ b/redwingstream/balancer/tests/test_role.py
@@ -1,4 +1,4 @@
-"""A balancer as a process has it: fabric, agents and a graceful stop."""
+"""Tests of the balancer process: fabric, agents and graceful stop."""
 
 import asyncio
 import contextlib
@@ -31,13 +31,15 @@
 from redwingstream.wire.datagrams import DatagramSocket, open_datagrams
 from redwingstream.wire.frames import FrameCodec
 
-WAY = fabric.AddressPair(Endpoint('10.0.0.1', 4000), parse_endpoint(SERVICE))
+ADDRESSES = fabric.AddressPair(
+    Endpoint('10.0.0.1', 4000), parse_endpoint(SERVICE)
+)
 ANY = Endpoint('127.0.0.1', 0)
 
 
 @attrs.define
-class Side:
-    """A socket whose datagrams wait in a queue."""
+class QueuedSocket:
+    """A socket whose received datagrams wait in a queue."""
 
     sock: DatagramSocket
     inbox: asyncio.Queue[bytes]
@@ -49,11 +51,11 @@
 
 
 @contextlib.contextmanager
-def open_side() -> AsyncIterator[Side]:
-    """Open a socket that keeps what comes."""
+def open_queued_socket() -> AsyncIterator[QueuedSocket]:
+    """Open a socket that queues received datagrams."""
     inbox: asyncio.Queue[bytes] = asyncio.Queue()
     with open_datagrams(ANY, lambda data, _: inbox.put_nowait(data)) as sock:
-        yield Side(sock, inbox)
+        yield QueuedSocket(sock, inbox)
 
 
 @pytest.fixture
@@ -80,99 +82,99 @@
 
 
 class TestBalancerRole:
-    """Between a fabric and an agent that the test plays."""
+    """A balancer between a fabric and an agent that the test simulates."""
 
-    async def test_forwards_and_brings_the_answer_back(
+    async def test_forwards_packets_and_returns_answers(
         self, role: BalancerRole
     ) -> None:
         codec = FrameCodec(KEY)
-        with open_side() as agent, open_side() as outside:
+        with open_queued_socket() as agent, open_queued_socket() as fabric_side:
             member = attrs.evolve(MEMBERS[0], endpoint=str(agent.sock.endpoint))
-            role.adopt(tables_of(members=(member,)))
+            role.apply_tables(tables_of(members=(member,)))
             async with role.opened():
                 entry = role.settings.fabric_endpoint.as_pair()
-                request = fabric.wrap_request(WAY, request_packet())
-                outside.sock.send(request, entry)
+                request = fabric.wrap_request(ADDRESSES, request_packet())
+                fabric_side.sock.send(request, entry)
                 packet = codec.open(await agent.receive()).payload
                 assert isinstance(packet, Packet)
                 answer = Answer(3, packet.caller, packet.service, b'answer')
                 frame = codec.seal(answer)
                 agent.sock.send(frame, role.settings.endpoint.as_pair())
-                datagram = await outside.receive()
+                datagram = await fabric_side.receive()
         assert packet.payload == request_packet()
-        assert fabric.unwrap_answer(datagram) == (WAY, b'answer')
+        assert fabric.unwrap_answer(datagram) == (ADDRESSES, b'answer')
 
-    async def test_refuses_at_once_what_has_no_route(
+    async def test_rejects_packets_without_a_route(
         self, role: BalancerRole
     ) -> None:
-        role.adopt(tables_of(has_route=False))
-        with open_side() as outside:
+        role.apply_tables(tables_of(has_route=False))
+        with open_queued_socket() as fabric_side:
             async with role.opened():
                 entry = role.settings.fabric_endpoint.as_pair()
-                request = fabric.wrap_request(WAY, request_packet())
-                outside.sock.send(request, entry)
-                datagram = await outside.receive()
+                request = fabric.wrap_request(ADDRESSES, request_packet())
+                fabric_side.sock.send(request, entry)
+                datagram = await fabric_side.receive()
         _, payload = fabric.unwrap_answer(datagram)
         answer = coap.decode(payload)
         assert answer.code == coap.SERVICE_UNAVAILABLE
         assert answer.payload == b'no_route'
         assert answer.opt.max_age > 0
 
-    async def test_drops_what_is_no_packet(self, role: BalancerRole) -> None:
-        role.adopt(tables_of(has_route=False))
-        with open_side() as outside:
+    async def test_drops_malformed_datagrams(self, role: BalancerRole) -> None:
+        role.apply_tables(tables_of(has_route=False))
+        with open_queued_socket() as fabric_side:
             async with role.opened():
                 entry = role.settings.fabric_endpoint.as_pair()
-                outside.sock.send(b'no header', entry)
-                nothing = fabric.wrap_request(WAY, b'\xff')
-                outside.sock.send(nothing, entry)
-                request = fabric.wrap_request(WAY, request_packet())
-                outside.sock.send(request, entry)
-                await outside.receive()
+                fabric_side.sock.send(b'no header', entry)
+                nothing = fabric.wrap_request(ADDRESSES, b'\xff')
+                fabric_side.sock.send(nothing, entry)
+                request = fabric.wrap_request(ADDRESSES, request_packet())
+                fabric_side.sock.send(request, entry)
+                await fabric_side.receive()
         counted = role.metrics.total_by_name
         assert counted['fabric_malformed'] == 1
         assert counted['caller_malformed'] == 1
 
-    async def test_tells_an_agent_that_its_tables_are_old(
+    async def test_tells_an_agent_with_old_tables_of_newer_ones(
         self, role: BalancerRole
     ) -> None:
-        """A lot board goes on from a zone that was taken out an hour ago.
+        """A feed must not continue from a zone that was taken out.
 
-        Its agent is cut off from control and from its pool.  The balancers
-        send nothing to that zone any more and go on passing on what comes
-        from it, without a word that the agent could learn from.
+        The agent cannot reach control or its pool.  Balancers send nothing to
+        its zone but still forward its answers, so they must reply that newer
+        tables exist.
         """
         informed = member_at(free_endpoint())
         informed.follower.history.apply_update(UPDATE)
         target = role.settings.endpoint
-        newest = Answer(UPDATE.revision, str(WAY.caller), SERVICE, b'new')
+        newest = Answer(UPDATE.revision, str(ADDRESSES.caller), SERVICE, b'new')
         old = attrs.evolve(newest, revision=UPDATE.revision - 1)
         codec = FrameCodec(KEY)
         async with informed.opened(), role.opened():
             informed.send(target, newest)
             await until(lambda: role.metrics.total_by_name['tables_fetched'])
-            with open_side() as agent:
+            with open_queued_socket() as agent:
                 agent.sock.send(codec.seal(old), target.as_pair())
                 told = codec.open(await agent.receive()).payload
         assert told == ProbeAck(UPDATE.revision)
 
-    async def test_forwards_until_the_fabric_is_quiet(
+    async def test_forwards_until_the_fabric_is_idle(
         self, role: BalancerRole
     ) -> None:
-        """A planned restart of a balancer loses the packets on their way.
+        """A planned restart of a balancer must not lose packets.
 
-        The balancer gets SIGTERM; the fabric needs a moment to notice and
-        goes on to hand in packets, which nobody would take any more.
+        After SIGTERM the fabric needs a moment to notice and still sends
+        packets, which a closed balancer would not receive.
         """
-        role.adopt(tables_of(has_route=False))
-        with open_side() as outside:
+        role.apply_tables(tables_of(has_route=False))
+        with open_queued_socket() as fabric_side:
             async with role.opened():
                 draining = asyncio.create_task(role.drain())
                 entry = role.settings.fabric_endpoint.as_pair()
                 for _ in range(3):
                     await asyncio.sleep(0.1)
-                    request = fabric.wrap_request(WAY, request_packet())
-                    outside.sock.send(request, entry)
-                    await outside.receive()
+                    request = fabric.wrap_request(ADDRESSES, request_packet())
+                    fabric_side.sock.send(request, entry)
+                    await fabric_side.receive()
                 async with asyncio.timeout(PATIENCE):
                     await draining
