--- a/redwingstream/balancer/tests/test_role.py
+++ b/redwingstream/balancer/tests/test_role.py
@@ -19,12 +19,12 @@
 from redwingstream.forwarding.messages import Answer, Packet
 from redwingstream.membership.messages import ProbeAck
 from redwingstream.node.tests.test_member import (
-    NOBODY,
-    PATIENCE,
+    UNREACHABLE,
+    TEST_TIMEOUT,
     UPDATE,
     free_endpoint,
     member_at,
-    until,
+    wait_until,
 )
 from redwingstream.settings.roles import BalancerSettings
 from redwingstream.wire import coap, fabric
@@ -46,7 +46,7 @@
 
     async def receive(self) -> bytes:
         """Return the next datagram."""
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             return await self.inbox.get()
 
 
@@ -66,7 +66,7 @@
         endpoint=free_endpoint(),
         zone='carse',
         key_file=pathlib.Path('unused'),
-        control=(NOBODY,),
+        control=(UNREACHABLE,),
         fabric_endpoint=free_endpoint(),
     )
     return BalancerRole(settings, KEY)
@@ -152,7 +152,9 @@
         codec = FrameCodec(KEY)
         async with informed.opened(), role.opened():
             informed.send(target, newest)
-            await until(lambda: role.metrics.total_by_name['tables_fetched'])
+            await wait_until(
+                lambda: role.metrics.total_by_name['tables_fetched']
+            )
             with open_queued_socket() as agent:
                 agent.sock.send(codec.seal(old), target.as_pair())
                 told = codec.open(await agent.receive()).payload
@@ -176,5 +178,5 @@
                     request = fabric.wrap_request(ADDRESSES, request_packet())
                     fabric_side.sock.send(request, entry)
                     await fabric_side.receive()
-                async with asyncio.timeout(PATIENCE):
+                async with asyncio.timeout(TEST_TIMEOUT):
                     await draining
--- a/redwingstream/node/__init__.py
+++ b/redwingstream/node/__init__.py
@@ -1,11 +1,13 @@
-"""What every member process does: speak, follow the tables, stay known.
+"""Parts that balancers and agents share.
 
 Modules
 -------
 member
     Frames, calls and membership of one process.
-following
-    Fetches newer tables.
+tables_follower
+    Fetches newer tables from other processes.
+guard
+    Counts and logs unexpected errors.
 metrics
-    Counters, sent by statsd.
+    Counters, sent to statsd.
 """
--- a/redwingstream/node/guard.py
+++ b/redwingstream/node/guard.py
@@ -1,4 +1,4 @@
-"""Keeps an error in one frame or one beat from stopping what follows."""
+"""Contains errors, so that one frame or heartbeat cannot stop later ones."""
 
 import contextlib
 import traceback
@@ -9,20 +9,26 @@
 from redwingstream.node.metrics import Metrics
 
 _LOG_PAUSE = 10
-"""Seconds between two tracebacks in the log."""
+"""Minimum seconds between two tracebacks in the log."""
 
 
 @contextlib.contextmanager
 def count_errors(what: str, metrics: Metrics) -> Iterator[None]:
-    """Count an error in a block as ``failed_WHAT`` and go on.
+    """Count an error in the context as ``failed_WHAT``, log it and go on.
+
+    Parameters
+    ----------
+    what : str
+        Name of the operation in the counter and the log.
+    metrics : Metrics
+        Counts the errors.
 
     Notes
     -----
-    Guards a task that nobody waits for against ending without a word, and the
-    log against a traceback for each of many frames: a process of another
-    release may send thousands a second that this one cannot use.  It holds
-    since every error ends here, and the log is written to at most once in ten
-    seconds while the counter shows them all.
+    Without this, an error would silently end a task that nobody awaits.  A
+    process of another release may send thousands of unusable frames a second,
+    so a traceback is logged at most once in ten seconds, while the counter
+    counts all errors.
     """
     try:
         yield
@@ -30,7 +36,7 @@
         metrics.count(f'failed_{what}')
         logging.log_every_n_seconds(
             logging.ERROR,
-            'node: A %s met an error: %s',
+            'node: A %s ended in an error: %s',
             _LOG_PAUSE,
             what,
             traceback.format_exc(),
--- a/redwingstream/node/member.py
+++ b/redwingstream/node/member.py
@@ -1,7 +1,7 @@
-"""The part of a balancer and of an agent that is the same for both.
+"""The part of a member process that balancers and agents share.
 
-It owns the frame socket and the calls, follows the tables and keeps the process
-a member.  The role on top registers what it does with its own messages.
+It owns the frame socket and the calls, keeps the tables up to date and the
+process a member.  The role registers handlers for its own messages.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
     Probe,
     ProbeAck,
 )
-from redwingstream.node.following import TablesFollower
+from redwingstream.node.tables_follower import TablesFollower
 from redwingstream.node.guard import count_errors
 from redwingstream.node.metrics import Metrics
 from redwingstream.settings.roles import MemberSettings
@@ -46,8 +46,9 @@
 
 FrameHandler = Callable[[Any, Endpoint], None]
 
-_BEAT_SPREAD = (0.9, 1.1)
-"""Heartbeats are spread, so that members started together do not stay so."""
+_HEARTBEAT_JITTER = (0.9, 1.1)
+"""Random factors of the heartbeat interval, so that members that start together
+do not send their heartbeats at the same time for ever."""
 
 
 class MemberNode:
@@ -56,24 +57,25 @@
     Parameters
     ----------
     settings : MemberSettings
-        Where it stands and whom it asks.
+        Settings of the process, with its addresses, control and peers.
     key : bytes
         Key of all frames and calls.
     announcement : Announce
-        What it says of itself to control.
+        Announcement of the process to control.
     metrics : Metrics
-        Counts what passes.
+        Counters of the process.
 
     Attributes
     ----------
     follower : TablesFollower
-        The tables; the role sets its ``on_tables``.
+        Holds the tables; the role sets its ``on_tables``.
     announcer : Announcer
-        The membership.
+        Keeps the process a member: announcement and heartbeats.
     vitals : callable
-        What the heartbeat says; a role that has more to say replaces it.
+        Returns the state that a heartbeat reports.  By default only the
+        revision of the tables; a role may replace it.
     state : callable
-        What the role adds to a dump.
+        Returns what the role adds to a dump.
     """
 
     def __init__(
@@ -97,66 +99,68 @@
         self._socket: DatagramSocket | None = None
         self._rng = random.Random()
         self._handler_by_class: dict[type, FrameHandler] = {
-            Challenge: self._on_challenge,
-            HeartbeatAck: self._on_ack,
-            Probe: self._on_probe,
-            ProbeAck: self._on_probe_ack,
+            Challenge: self._handle_challenge,
+            HeartbeatAck: self._handle_ack,
+            Probe: self._handle_probe,
+            ProbeAck: self._handle_probe_ack,
         }
 
     @property
     def now(self) -> float:
-        """Seconds on the loop's clock."""
+        """Current time in seconds, by the event loop's clock."""
         return asyncio.get_running_loop().time()
 
     def register_handler(
         self, message_class: type, handler: FrameHandler
     ) -> None:
-        """Register what happens with a class of frames."""
+        """Register the handler of frames with a class of messages."""
         self._handler_by_class[message_class] = handler
 
     def send(self, target: Endpoint, payload: object) -> None:
-        """Send a frame; it may be lost like any datagram."""
+        """Send a message in a frame; like any datagram it may be lost."""
         if self._socket is not None:
             self._socket.send(self._codec.seal(payload), target.as_pair())
 
     @contextlib.asynccontextmanager
     async def opened(self) -> AsyncIterator[None]:
-        """Hold the sockets open and the membership up for a block."""
+        """Keep sockets open and send heartbeats while the context is open."""
         endpoint = self.settings.endpoint
         with (
             self._calls.opened(),
-            open_datagrams(endpoint, self._on_datagram) as sock,
+            open_datagrams(endpoint, self._handle_datagram) as sock,
         ):
             self._socket = sock
-            async with serve_calls(endpoint, self._call_codec, self._on_call):
-                beating = asyncio.create_task(self._beat())
+            async with serve_calls(
+                endpoint, self._call_codec, self._handle_call
+            ):
+                heartbeat_task = asyncio.create_task(self._heartbeat_loop())
                 try:
                     yield
                 finally:
-                    beating.cancel()
+                    heartbeat_task.cancel()
                     self.follower.close()
         self._socket = None
 
-    async def _beat(self) -> None:
+    async def _heartbeat_loop(self) -> None:
         while True:
             with count_errors('beat', self.metrics):
-                self._beat_once()
-            spread = self._rng.uniform(*_BEAT_SPREAD)
+                self._send_heartbeat()
+            spread = self._rng.uniform(*_HEARTBEAT_JITTER)
             await asyncio.sleep(HEARTBEAT_INTERVAL * spread)
 
-    def _beat_once(self) -> None:
-        self._say(self.announcer.tick(self.now, self.vitals()))
-        self._ask_a_peer()
+    def _send_heartbeat(self) -> None:
+        self._send_to_control(self.announcer.tick(self.now, self.vitals()))
+        self._probe_peer()
         self.metrics.flush()
 
-    def _ask_a_peer(self) -> None:
-        """Ask for newer tables while control does not answer.
+    def _probe_peer(self) -> None:
+        """Probe a random peer for newer tables while control does not answer.
 
-        A process that starts while all control instances are away has no
-        tables, and nobody sends it anything from which to learn of them: a
-        restarted balancer would refuse every packet until control is back.
-        One that has tables asks the members in them too: it may be sending
-        to nobody, since those tables leave it nobody to send to.
+        A process that starts while no control instance is reachable has no
+        tables and gets no frames from which to learn of them.  A restarted
+        balancer would drop every packet until control is back.  A process with
+        tables also asks the members in them, since the tables may leave it
+        without any agent to send to, and then it gets no answers either.
         """
         if not self.announcer.is_cut_off(self.now):
             return
@@ -166,11 +170,11 @@
             probe = Probe(self.follower.revision)
             self.send(self._rng.choice(peers), probe)
 
-    def _say(self, sends: list[SendToControl]) -> None:
+    def _send_to_control(self, sends: list[SendToControl]) -> None:
         for send in sends:
             self.send(send.endpoint, send.message)
 
-    def _on_datagram(self, frame: bytes, source: tuple[str, int]) -> None:
+    def _handle_datagram(self, frame: bytes, source: tuple[str, int]) -> None:
         try:
             opened = self._codec.open(frame)
         except WireError as error:
@@ -183,13 +187,13 @@
         with count_errors('frame', self.metrics):
             handler(opened.payload, Endpoint(*source))
 
-    def _on_challenge(self, challenge: Challenge, source: Endpoint) -> None:
-        self._say(self.announcer.on_challenge(challenge, self.now))
+    def _handle_challenge(self, challenge: Challenge, source: Endpoint) -> None:
+        self._send_to_control(self.announcer.on_challenge(challenge, self.now))
 
-    def _on_ack(self, ack: HeartbeatAck, source: Endpoint) -> None:
-        was_member = self.announcer.incarnation
-        self._say(self.announcer.on_ack(ack, source, self.now))
-        if self.announcer.incarnation != was_member:
+    def _handle_ack(self, ack: HeartbeatAck, source: Endpoint) -> None:
+        old_incarnation = self.announcer.incarnation
+        self._send_to_control(self.announcer.on_ack(ack, source, self.now))
+        if self.announcer.incarnation != old_incarnation:
             logging.info(
                 'node: %s has incarnation %d.',
                 self.settings.host,
@@ -197,14 +201,14 @@
             )
         self.follower.handle_revision(ack.revision, source)
 
-    def _on_probe(self, probe: Probe, source: Endpoint) -> None:
+    def _handle_probe(self, probe: Probe, source: Endpoint) -> None:
         self.send(source, ProbeAck(self.follower.revision))
         self.follower.handle_revision(probe.revision, source)
 
-    def _on_probe_ack(self, ack: ProbeAck, source: Endpoint) -> None:
+    def _handle_probe_ack(self, ack: ProbeAck, source: Endpoint) -> None:
         self.follower.handle_revision(ack.revision, source)
 
-    async def _on_call(self, request: object) -> object:
+    async def _handle_call(self, request: object) -> object:
         match request:
             case FetchTables(since=since):
                 return self.follower.history.update_since(since)
--- a/redwingstream/node/metrics.py
+++ b/redwingstream/node/metrics.py
@@ -1,4 +1,4 @@
-"""Counts what a process does and sends it on by statsd."""
+"""Counters and gauges of a process, sent to statsd."""
 
 from collections import Counter
 
@@ -8,19 +8,24 @@
 
 
 class Metrics:
-    """Named counters of one process.
+    """Named counters and gauges of one process.
 
     Parameters
     ----------
     prefix : str
-        ``redwingstream.ROLE.HOST``.
+        Prefix of all names, ``redwingstream.ROLE.HOST``.
     target : Endpoint, optional
-        Where statsd takes datagrams; counts stay in this process when absent.
+        Endpoint of statsd; without it, nothing is sent.
 
     Notes
     -----
-    Counts are summed here and sent once a second by :meth:`flush`, so that a
-    packet costs an addition and not a datagram.
+    Counts are summed in this process and sent once a second by :meth:`flush`,
+    so that a packet costs an addition and not a datagram.
+
+    Attributes
+    ----------
+    total_by_name : Counter
+        Totals of the counters since the start.
     """
 
     def __init__(self, prefix: str, target: Endpoint | None) -> None:
@@ -34,17 +39,17 @@
         self.total_by_name[name] += times
 
     def gauge(self, name: str, level: float) -> None:
-        """Set a level."""
+        """Set a gauge."""
         self._gauge_by_name[name] = level
 
     def flush(self) -> None:
-        """Send what has been counted since the last flush."""
+        """Send the increments since the last flush and the current gauges."""
         if self._client is None:
             return
         for name, total in self.total_by_name.items():
-            grown = total - self._sent_by_name[name]
-            if grown:
-                self._client.incr(name, grown)
+            increment = total - self._sent_by_name[name]
+            if increment:
+                self._client.incr(name, increment)
         for name, level in self._gauge_by_name.items():
             self._client.gauge(name, level)
         self._sent_by_name = Counter(self.total_by_name)
--- a/redwingstream/node/following.py
+++ b/redwingstream/node/tables_follower.py
@@ -1,4 +1,8 @@
-"""Follows the tables: fetches them from whoever has newer ones."""
+"""Keeps the tables of a member up to date.
+
+Newer tables are fetched from any process that has them: a control instance or
+another member (balancer or agent).
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -13,31 +17,31 @@
 from redwingstream.wire.calls import CallClient
 
 FETCH_PAUSE = 0.1
-"""Seconds before a process is asked again that brought nothing newer."""
+"""Seconds before a process that had no newer tables is asked again."""
 
 HEDGE_AFTER = 0.25
-"""Seconds after which an unanswered fetch does not hold up another one."""
+"""Seconds after which a fetch without an answer no longer delays others."""
 
 MAX_FETCHES = 4
-"""Sources that are asked at the same time at most."""
+"""Maximum number of processes that are asked at the same time."""
 
 
 class TablesFollower:
-    """The tables of a member, kept up to date.
+    """Fetches newer tables and holds the newest ones.
 
     Parameters
     ----------
     calls : CallClient
-        Asks other processes.
+        Calls other processes.
     metrics : Metrics
-        Counts fetches.
+        Counts fetches and shows the revision.
 
     Attributes
     ----------
     history : TablesHistory
         The tables and the latest updates.
     on_tables : callable
-        Called whenever the tables have become newer.
+        Called after newer tables have been applied.
     """
 
     def __init__(self, calls: CallClient, metrics: Metrics) -> None:
@@ -50,53 +54,61 @@
 
     @property
     def revision(self) -> int:
-        """Revision of the tables here."""
+        """Revision of the tables of this process."""
         return self.history.tables.revision
 
     def handle_revision(self, revision: int, source: Endpoint) -> None:
-        """Fetch the tables when another process knows newer ones.
+        """Fetch the tables when another process has newer ones.
+
+        Callers' packets, their answers and probes contain the revision of the
+        peer that sent them.  So a change also reaches a process that control
+        cannot reach.
 
-        This is how a change reaches a process that control cannot reach:
-        callers' packets, their answers and probes name the revision of the
-        peer that sent them.
+        Parameters
+        ----------
+        revision : int
+            Revision of the tables of the other process.
+        source : Endpoint
+            Endpoint of the other process.
 
         Notes
         -----
-        A source may be heard and yet not answer calls, since something on the
-        way has lost track of the connection.  Its fetch lasts until its
-        timeout; were other sources not asked meanwhile, control's heartbeats
-        alone could keep this process from its peers for good.
+        A process whose datagrams arrive may not answer calls, because a device
+        on the network path has lost the state of the TCP connection.  Its fetch
+        lasts until the timeout.  If other processes were not asked meanwhile,
+        control's heartbeats alone could keep this process from asking its peers
+        for ever.
         """
-        if revision > self.revision and self._may_ask(source):
+        if revision > self.revision and self._may_fetch(source):
             self._fetched_at = asyncio.get_running_loop().time()
-            fetching = asyncio.create_task(self._fetch(source))
-            self._fetch_by_source[source] = fetching
-            fetching.add_done_callback(
+            fetch_task = asyncio.create_task(self._fetch(source))
+            self._fetch_by_source[source] = fetch_task
+            fetch_task.add_done_callback(
                 lambda _: self._fetch_by_source.pop(source)
             )
 
     def members(self) -> list[Endpoint]:
-        """Return where the members of the tables here are reached."""
+        """Return the endpoints of the members in the tables."""
         rows = self.history.tables.member_by_host.values()
         return [parse_endpoint(row.endpoint) for row in rows]
 
     def close(self) -> None:
-        """Stop fetching."""
-        for fetching in self._fetch_by_source.values():
-            fetching.cancel()
+        """Cancel all fetches."""
+        for fetch_task in self._fetch_by_source.values():
+            fetch_task.cancel()
 
-    def _may_ask(self, source: Endpoint) -> bool:
-        under_way = self._fetch_by_source
-        if source in under_way or len(under_way) >= MAX_FETCHES:
+    def _may_fetch(self, source: Endpoint) -> bool:
+        running = self._fetch_by_source
+        if source in running or len(running) >= MAX_FETCHES:
             return False
         now = asyncio.get_running_loop().time()
-        return not under_way or now - self._fetched_at >= HEDGE_AFTER
+        return not running or now - self._fetched_at >= HEDGE_AFTER
 
     async def _fetch(self, source: Endpoint) -> None:
-        if not await self._brings_newer(source):
+        if not await self._fetch_newer(source):
             await asyncio.sleep(FETCH_PAUSE)
 
-    async def _brings_newer(self, source: Endpoint) -> bool:
+    async def _fetch_newer(self, source: Endpoint) -> bool:
         try:
             update = await self._calls.call(
                 source, FetchTables(self.revision), TablesUpdate
@@ -114,4 +126,4 @@
 
 
 def _do_nothing() -> None:
-    """Stand in for a role that has nothing to do."""
+    """Default of ``on_tables``: do nothing."""
--- a/redwingstream/node/tests/test_member.py
+++ b/redwingstream/node/tests/test_member.py
@@ -1,4 +1,4 @@
-"""Members over real sockets: tables from peers, calls, bad frames."""
+"""Tests of members over real sockets: tables from peers, calls, bad frames."""
 
 import asyncio
 import json
@@ -36,10 +36,10 @@
 from redwingstream.wire.frames import FrameCodec
 
 KEY = b'k' * 32
-NOBODY = Endpoint('127.0.0.1', 9)
+UNREACHABLE = Endpoint('127.0.0.1', 9)
 UPDATE = TablesUpdate(since=0, revision=5, zones=(ZoneMark('carse', out=True),))
-PATIENCE = 20
-MANY = 20
+TEST_TIMEOUT = 20
+FRAME_COUNT = 20
 
 
 def free_endpoint() -> Endpoint:
@@ -51,49 +51,51 @@
 
 
 def member_at(endpoint: Endpoint, *peers: Endpoint) -> MemberNode:
-    """Return a member whose control instances are all away."""
+    """Return a member that can reach no control instance."""
     settings = MemberSettings(
         host='b1',
         endpoint=endpoint,
         zone='carse',
         key_file=pathlib.Path('unused'),
-        control=(NOBODY,),
+        control=(UNREACHABLE,),
         peers=peers,
     )
     announcement = Announce('b1', Role.BALANCER, str(endpoint), 'carse', '', 1)
     return MemberNode(settings, KEY, announcement, Metrics('test', None))
 
 
-async def until(is_met: Callable[[], bool]) -> None:
-    """Wait for a condition."""
-    async with asyncio.timeout(PATIENCE):
+async def wait_until(is_met: Callable[[], bool]) -> None:
+    """Wait until a condition is met."""
+    async with asyncio.timeout(TEST_TIMEOUT):
         while not is_met():
             await asyncio.sleep(0.01)
 
 
 class TestMemberNode:
-    """One or two members, and somebody who calls them."""
+    """One or two members and a client that calls them."""
 
     async def test_learns_the_tables_from_a_peer_without_control(self) -> None:
-        """Every caller is refused after a restart while control is away.
+        """A member that restarts while control is down must get the tables.
 
-        All control instances are down.  A balancer is restarted; it has no
-        tables and no disk, and refuses whatever the fabric hands in.
+        A balancer has no disk.  Without tables it could serve no caller until
+        control is back.
         """
         informed = member_at(free_endpoint())
         informed.follower.history.apply_update(UPDATE)
         started = member_at(free_endpoint(), informed.settings.endpoint)
         started.announcer.is_cut_off = lambda now: True
         async with informed.opened(), started.opened():
-            await until(lambda: started.follower.revision == UPDATE.revision)
+            await wait_until(
+                lambda: started.follower.revision == UPDATE.revision
+            )
         assert started.follower.history.tables.is_zone_out('carse')
 
     async def test_asks_members_that_it_knows_without_control(self) -> None:
-        """A balancer refuses all callers of a pool that has moved.
+        """A balancer cut off from control must learn of a replaced pool.
 
-        Its link to control is cut silently, and no peers are set.  Operators
-        replace the pool.  The balancer knows the old pool only, which has no
-        server left: it sends nothing to anybody, so nobody tells it.
+        It cannot reach control, and no peers are set.  Operators replace the
+        pool.  The old pool, the only one it knows, has no server left, so the
+        balancer sends no packets and gets no answers with a newer revision.
         """
         informed = member_at(free_endpoint())
         endpoint = informed.settings.endpoint
@@ -106,9 +108,13 @@
         )
         cut_off.announcer.is_cut_off = lambda now: True
         async with informed.opened(), cut_off.opened():
-            await until(lambda: cut_off.follower.revision == newer.revision)
+            await wait_until(
+                lambda: cut_off.follower.revision == newer.revision
+            )
 
-    async def test_hears_of_a_change_from_any_frame_of_a_peer(self) -> None:
+    async def test_fetches_tables_from_a_peer_with_a_newer_revision(
+        self,
+    ) -> None:
         informed = member_at(free_endpoint())
         informed.follower.history.apply_update(UPDATE)
         other = member_at(free_endpoint())
@@ -116,7 +122,7 @@
             other.follower.handle_revision(
                 UPDATE.revision, informed.settings.endpoint
             )
-            await until(lambda: other.follower.revision == UPDATE.revision)
+            await wait_until(lambda: other.follower.revision == UPDATE.revision)
 
     async def test_answers_calls(self) -> None:
         member = member_at(free_endpoint())
@@ -149,32 +155,31 @@
                     )
         assert caught.value.code is ResultCode.TIMED_OUT
 
-    async def test_goes_on_after_a_frame_that_its_handler_fails_on(
+    async def test_continues_after_a_frame_whose_handler_fails(
         self, caplog: pytest.LogCaptureFixture
     ) -> None:
-        """The disk of a balancer fills with its log.
+        """Unusable frames must be counted and must not fill the disk with logs.
 
-        A process of another release sends frames whose fields this one cannot
-        use, thousands a second.  Each of them left a traceback in the log,
-        and nothing that metrics show.
+        A process of another release may send thousands of frames a second whose
+        fields this one cannot use.  A traceback for each would fill the disk.
         """
         member = member_at(free_endpoint())
         codec = FrameCodec(KEY)
         unusable = HeartbeatAck(1, 1, 'nowhere')
         async with member.opened():
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-                for _ in range(MANY):
+                for _ in range(FRAME_COUNT):
                     frame = codec.seal(unusable)
                     sock.sendto(frame, member.settings.endpoint.as_pair())
             counted = member.metrics.total_by_name
-            await until(lambda: counted['failed_frame'] == MANY)
-        assert len(caplog.records) < MANY / 2
+            await wait_until(lambda: counted['failed_frame'] == FRAME_COUNT)
+        assert len(caplog.records) < FRAME_COUNT / 2
 
-    async def test_beats_on_after_an_error_in_the_vitals(self) -> None:
-        """A healthy server drops out of its pool until a restart.
+    async def test_sends_heartbeats_after_an_error_in_the_vitals(self) -> None:
+        """An error in the role's vitals must not stop the heartbeats.
 
-        What the heartbeat says is put together by the role; one error there
-        ended the task that beats, and only that one.
+        If it ended the task that sends them, a healthy server would drop out of
+        its pool until a restart.
         """
         member = member_at(free_endpoint())
         asked: list[None] = []
@@ -187,10 +192,10 @@
 
         member.vitals = fail_once
         async with member.opened():
-            await until(lambda: len(asked) > 1)
+            await wait_until(lambda: len(asked) > 1)
         assert member.metrics.total_by_name['failed_beat'] == 1
 
-    async def test_counts_and_drops_frames_that_it_cannot_take(self) -> None:
+    async def test_counts_and_drops_frames_that_it_cannot_handle(self) -> None:
         member = member_at(free_endpoint())
         codec = FrameCodec(KEY)
         frame = codec.seal(Heartbeat('b2', 1, 1))
@@ -206,7 +211,7 @@
                 for each in frames:
                     sock.sendto(each, member.settings.endpoint.as_pair())
             counted = member.metrics.total_by_name
-            await until(lambda: sum(counted.values()) >= len(frames))
+            await wait_until(lambda: sum(counted.values()) >= len(frames))
         assert counted['frame_malformed'] == 1
         assert counted['frame_unauthentic'] == 2
         assert counted['frame_unexpected'] == 1
--- a/redwingstream/node/tests/test_metrics.py
+++ b/redwingstream/node/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Counters: summed here, sent once, and listed in the documentation."""
+"""Tests of the counters: sums, sending and the list in the documentation."""
 
 import pathlib
 import re
@@ -16,7 +16,7 @@
 
 
 class TestMetrics:
-    """One process that counts."""
+    """Counters of one process."""
 
     def test_sends_what_was_counted_since_the_last_flush(self) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
@@ -31,7 +31,7 @@
         assert sent == [b'test.run:3|c', b'test.run:1|c']
 
     def test_sends_to_an_ipv6_address(self) -> None:
-        """A daemon with an IPv6 address for statsd does not start."""
+        """A daemon must start with an IPv6 address of statsd."""
         with socket.socket(socket.AF_INET6, socket.SOCK_DGRAM) as sock:
             sock.bind(('::1', 0))
             metrics = Metrics('test', Endpoint(*sock.getsockname()[:2]))
@@ -47,7 +47,7 @@
 
 
 class TestMetricsPage:
-    """The list in the documentation."""
+    """The list of metrics in the documentation is complete."""
 
     def test_names_every_metric_and_no_other(self) -> None:
         counted = set()
--- a/redwingstream/node/tests/test_following.py
+++ b/redwingstream/node/tests/test_tables_follower.py
@@ -1,4 +1,4 @@
-"""Which processes are asked for newer tables, and how often."""
+"""Tests which processes are asked for newer tables, and how often."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 from redwingstream.endpoints import Endpoint
 from redwingstream.errors import CallFailedError, ResultCode
-from redwingstream.node.following import (
+from redwingstream.node.tables_follower import (
     HEDGE_AFTER,
     MAX_FETCHES,
     TablesFollower,
@@ -24,16 +24,16 @@
 
 
 class FakeCalls:
-    """Calls of which some endpoints never answer.
+    """A fake call client; some endpoints never answer.
 
     Attributes
     ----------
     update_by_endpoint : dict
-        What those answer that do.
+        Answers of the endpoints that do answer.
     asked : list of Endpoint
-        Who was called.
+        Endpoints that were called.
     most_running : int
-        How many calls there were at once.
+        Highest number of calls at the same time.
     """
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
     async def call(
         self, endpoint: Endpoint, request: FetchTables, answer_class: type
     ) -> TablesUpdate:
-        """Answer after a moment, or fail after the usual timeout."""
+        """Answer after a short delay, or fail after the default timeout."""
         self.asked.append(endpoint)
         self._running += 1
         self.most_running = max(self.most_running, self._running)
@@ -65,7 +65,7 @@
 
 @pytest.fixture
 def calls() -> FakeCalls:
-    """Return calls that nobody answers yet."""
+    """Return a client whose calls nobody answers yet."""
     return FakeCalls()
 
 
@@ -77,16 +77,17 @@
 
 @pytest.mark.looptime
 class TestTablesFollower:
-    """On a paused clock, with peers of which some do not answer calls."""
+    """A follower on a simulated clock; some peers do not answer calls."""
 
     async def test_asks_a_peer_while_another_does_not_answer(
         self, calls: FakeCalls, follower: TablesFollower
     ) -> None:
-        """A zone taken out gets packets for many seconds more.
+        """A fetch without an answer must not delay the tables of other peers.
 
-        Something on the way lets control's heartbeats through and drops its
-        calls.  Each heartbeat starts a fetch that lasts until its timeout,
-        and what peers say in the meantime was not listened to.
+        A device on the network path lets control's heartbeats through and drops
+        calls to it.  Each heartbeat starts a fetch that lasts until its
+        timeout.  If peers were not asked meanwhile, a zone that was taken out
+        would get packets for many seconds more.
         """
         calls.update_by_endpoint[PEER] = UPDATE
         follower.handle_revision(UPDATE.revision, CONTROL)
@@ -96,7 +97,7 @@
         assert follower.history.tables.is_zone_out('carse')
         follower.close()
 
-    async def test_one_fetch_is_enough_while_it_is_young(
+    async def test_starts_no_second_fetch_before_the_hedge_delay(
         self, calls: FakeCalls, follower: TablesFollower
     ) -> None:
         calls.update_by_endpoint.update({CONTROL: UPDATE, PEER: UPDATE})
@@ -105,7 +106,7 @@
         await asyncio.sleep(HEARTBEAT)
         assert calls.asked == [CONTROL]
 
-    async def test_does_not_ask_many_at_once(
+    async def test_limits_the_number_of_fetches(
         self, calls: FakeCalls, follower: TablesFollower
     ) -> None:
         sources = [Endpoint('127.0.0.3', port) for port in range(1, 20)]
@@ -118,10 +119,10 @@
     async def test_pauses_when_a_source_has_nothing_newer(
         self, calls: FakeCalls, follower: TablesFollower
     ) -> None:
-        """A process spends its time on fetches that bring nothing.
+        """A process must not call a source without newer tables per packet.
 
-        An agent passes on packets whose balancer knows newer tables, and has
-        not got them itself yet.  Each packet led to one more call to it.
+        An agent passes on packets with the newer revision of their balancer but
+        does not have these tables itself yet.
         """
         calls.update_by_endpoint[PEER] = TablesUpdate(since=0, revision=0)
         for _ in range(100):
