--- a/redwingstream/wire/__init__.py
+++ b/redwingstream/wire/__init__.py
@@ -1,17 +1,17 @@
-"""Codecs and sockets: what every slice sends and receives goes through here.
+"""Codecs and sockets for everything that processes send and receive.
 
 Modules
 -------
 messages
     Numbered message classes and their msgpack codec.
 frames
-    Authentic frames with replay protection round one message.
+    Authenticated frames with replay protection, each around one message.
 datagrams
-    The UDP endpoint that a process has for frames.
+    The UDP socket of a process.
 calls
-    Request and reply over pynng, for control only.
+    Request and reply over pynng, for control and operators only.
 fabric
     PROXY protocol v2 datagrams from and to the fabric.
 coap
-    CoAP messages, as far as this project needs them.
+    The parts of CoAP that this project needs.
 """
--- a/redwingstream/wire/calls.py
+++ b/redwingstream/wire/calls.py
@@ -3,8 +3,8 @@
 A round trip costs hundreds of microseconds of processor time (see
 ``docs/design/wire.md``), so packets and the request ledger use datagrams.
 
-TCP's word that a connection is open is not believed: a call that gets no answer
-in time closes its socket, and the next call dials afresh.
+An open TCP connection does not mean that the peer is reachable.  A call that
+gets no answer in time closes its socket, and the next call dials again.
 """
 
 import asyncio
@@ -29,16 +29,17 @@
 from redwingstream.wire.messages import message
 
 MAX_CALL_SIZE = 1 << 24
-"""Bytes of a request or an answer at most."""
+"""Maximum size of a request or an answer in bytes."""
 
 SERVING_CONTEXTS = 16
-"""Calls that a process answers at once at most."""
+"""Maximum number of calls that a process answers at the same time."""
 
 DEFAULT_TIMEOUT = 2.0
 """Seconds that a call waits for its answer."""
 
 MAX_CONNECTIONS = 16
-"""Idle connections of a client are closed above this, the oldest first."""
+"""Number of connections above which a client closes idle ones, the least
+recently used first."""
 
 Handler = Callable[[object], Awaitable[object]]
 AnswerT = TypeVar('AnswerT')
@@ -47,14 +48,14 @@
 
 @message(kind=1)
 class Refused:
-    """Answer of a process that did not do what was asked.
+    """Answer to a call that was refused or failed.
 
     Parameters
     ----------
     code : int
         A :class:`~redwingstream.errors.ResultCode`.
     text : str
-        What was met and the way out.
+        What went wrong and how to proceed.
     """
 
     code: int
@@ -63,14 +64,14 @@
 
 @attrs.define(eq=False)
 class _Connection:
-    """A socket that dials one endpoint, and how many calls wait on it."""
+    """A socket that dials one endpoint, and the number of calls that use it."""
 
     sock: pynng.Req0
     calls: int = 0
 
 
 class CallClient:
-    """Calls other processes; one connection for each endpoint.
+    """Calls other processes over one connection for each endpoint.
 
     Parameters
     ----------
@@ -79,8 +80,8 @@
 
     Notes
     -----
-    A connection to a process that is gone dials on for ever.  Members come
-    and go at new endpoints, so only the latest connections are kept.
+    A connection to a process that is gone redials for ever.  Members restart
+    at new endpoints, so only the most recently used connections are kept.
     """
 
     def __init__(self, codec: FrameCodec) -> None:
@@ -90,7 +91,7 @@
         )
 
     def __len__(self) -> int:
-        """Return how many connections are kept."""
+        """Return the number of connections."""
         return len(self._connection_by_endpoint)
 
     async def call(
@@ -107,11 +108,11 @@
         endpoint : Endpoint
             The TCP endpoint of the other process.
         request : object
-            A message; it must be safe to repeat.
+            Message to send; handling it twice must be harmless.
         answer_class : type
-            The message class expected.
+            Message class of the expected answer.
         timeout : float
-            Seconds to wait.
+            Seconds to wait for the answer.
 
         Returns
         -------
@@ -121,28 +122,29 @@
         Raises
         ------
         CallFailedError
-            With the other side's code when it refused, ``TIMED_OUT`` when
-            nothing came, ``MALFORMED`` when something else came.
+            With the peer's code when it refused, ``TIMED_OUT`` without an
+            answer, ``MALFORMED`` for an answer of another class, or the code
+            of a frame that cannot be opened.
         """
         frame = self._codec.seal(request)
         try:
             async with asyncio.timeout(timeout):
                 reply = await self._exchange(endpoint, frame)
         except (TimeoutError, pynng.NNGException) as error:
-            self._forget(endpoint)
+            self._close_connection(endpoint)
             raise CallFailedError(
                 f'no answer from {endpoint} within {timeout} s',
                 ResultCode.TIMED_OUT,
             ) from error
-        return self._read(endpoint, reply, answer_class)
+        return self._decode_answer(endpoint, reply, answer_class)
 
     @contextlib.contextmanager
     def opened(self) -> Iterator['CallClient']:
-        """Close every connection at the end of the block."""
+        """Close all connections when the context ends."""
         try:
             yield self
         finally:
-            self._forget_all()
+            self._close_all()
 
     async def _exchange(self, endpoint: Endpoint, frame: bytes) -> bytes:
         with self._connected(endpoint) as sock, sock.new_context() as context:
@@ -151,7 +153,7 @@
 
     @contextlib.contextmanager
     def _connected(self, endpoint: Endpoint) -> Iterator[pynng.Req0]:
-        """Hold the connection to an endpoint for one call."""
+        """Use the connection to an endpoint for one call; dial it if needed."""
         connection = self._connection_by_endpoint.get(endpoint)
         if connection is None:
             connection = _Connection(pynng.Req0(recv_max_size=MAX_CALL_SIZE))
@@ -159,13 +161,13 @@
             connection.sock.dial(f'tcp://{endpoint}', block=False)
         self._connection_by_endpoint.move_to_end(endpoint)
         connection.calls += 1
-        self._forget_idle()
+        self._close_idle()
         try:
             yield connection.sock
         finally:
             connection.calls -= 1
 
-    def _forget_idle(self) -> None:
+    def _close_idle(self) -> None:
         surplus = len(self) - MAX_CONNECTIONS
         if surplus <= 0:
             return
@@ -175,16 +177,16 @@
             if not connection.calls
         ]
         for endpoint in idle[:surplus]:
-            self._forget(endpoint)
+            self._close_connection(endpoint)
 
-    def _read(
+    def _decode_answer(
         self, endpoint: Endpoint, reply: bytes, answer_class: type[AnswerT]
     ) -> AnswerT:
         try:
             answer = self._codec.open(reply).payload
         except WireError as error:
             raise CallFailedError(
-                f'answer of {endpoint} is not usable: {error}', error.code
+                f'answer of {endpoint} cannot be opened: {error}', error.code
             ) from error
         if isinstance(answer, Refused):
             raise CallFailedError(answer.text, _known_code(answer.code))
@@ -196,11 +198,11 @@
             )
         return answer
 
-    def _forget_all(self) -> None:
+    def _close_all(self) -> None:
         for endpoint in list(self._connection_by_endpoint):
-            self._forget(endpoint)
+            self._close_connection(endpoint)
 
-    def _forget(self, endpoint: Endpoint) -> None:
+    def _close_connection(self, endpoint: Endpoint) -> None:
         connection = self._connection_by_endpoint.pop(endpoint, None)
         if connection is not None:
             connection.sock.close()
@@ -212,10 +214,10 @@
     Notes
     -----
     pynng drops a cancellation that arrives while its operation completes, and
-    returns as if there had been none.  It shows as a process that never stops
-    and as a call that waits past its timeout, since the task goes on with the
-    next operation.  asyncio counts the requests for cancellation of a task,
-    so a dropped one is seen here and raised again.
+    returns as if there had been none.  The task then continues with its next
+    operation, so a process never stops, or a call waits past its timeout.
+    asyncio counts the requests for cancellation of a task, so a dropped one is
+    detected here and raised again.
     """
     before = _cancellations()
     try:
@@ -231,18 +233,18 @@
 async def serve_calls(
     endpoint: Endpoint, codec: FrameCodec, handler: Handler
 ) -> AsyncIterator[None]:
-    """Answer calls on a TCP endpoint until the block ends.
+    """Answer calls on a TCP endpoint while the context is open.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Where to listen.
+        TCP endpoint to listen on.
     codec : FrameCodec
         Opens requests and seals answers.
     handler : callable
-        Takes a request message and returns the answer message.  It may raise
-        a :class:`~redwingstream.errors.RedwingstreamError`; the caller gets
-        its code and text.
+        Receives a request message and returns the answer message.  When it
+        raises a :class:`~redwingstream.errors.RedwingstreamError`, its code and
+        text are sent to the caller.
 
     Raises
     ------
@@ -251,8 +253,8 @@
 
     Notes
     -----
-    At most ``SERVING_CONTEXTS`` calls are in hand at once, so a flood of calls
-    waits in the peers and not in this process's memory.
+    At most ``SERVING_CONTEXTS`` calls are answered at the same time, so a flood
+    of calls waits in the peers and not in the memory of this process.
     """
     with pynng.Rep0(recv_max_size=MAX_CALL_SIZE) as sock:
         _listen(sock, endpoint)
@@ -260,7 +262,7 @@
             asyncio.create_task(_serve_context(sock, codec, handler))
             for _ in range(SERVING_CONTEXTS)
         ]
-        async with _ended(*tasks):
+        async with _cancelled_on_exit(*tasks):
             yield
 
 
@@ -275,8 +277,8 @@
 
 
 @contextlib.asynccontextmanager
-async def _ended(*tasks: asyncio.Task[Any]) -> AsyncIterator[None]:
-    """End tasks when the block ends, also when it is cancelled itself."""
+async def _cancelled_on_exit(*tasks: asyncio.Task[Any]) -> AsyncIterator[None]:
+    """Cancel tasks when the context ends, also when it is itself cancelled."""
     try:
         yield
     finally:
@@ -301,15 +303,15 @@
     with sock.new_context() as context:
         while True:
             try:
-                await _serve_one(context, codec, handler)
+                await _serve_call(context, codec, handler)
             except pynng.Closed:
                 return
             except pynng.NNGException as error:
-                # Such as a peer that has gone before it got its answer.
+                # For example, the peer has gone before it got its answer.
                 logging.warning('calls: A call was not answered: %s.', error)
 
 
-async def _serve_one(
+async def _serve_call(
     context: pynng.Context, codec: FrameCodec, handler: Handler
 ) -> None:
     frame = await keep_cancellation(context.arecv())
@@ -324,23 +326,30 @@
     try:
         request = codec.open(frame).payload
     except WireError:
-        # An unauthentic caller learns nothing, not even that it was heard.
+        # An unauthenticated caller gets no answer, so that it does not learn
+        # that anything listens here.
         return None
     try:
         return codec.seal(await handler(request))
     except RedwingstreamError as error:
         return codec.seal(Refused(int(error.code), str(error)))
     except Exception:
-        # An error in a handler would end the task that serves this context.
-        # It shows, after as many errors as there are contexts, as a process
-        # that answers no call any more.  Here it costs the one call.
-        logging.exception('calls: A call met an error.')
-        text = f'{type(request).__name__} met an error; see the log there'
+        # An uncaught error in a handler would end the task that serves this
+        # context.  After as many errors as there are contexts, the process
+        # would answer no calls.  Caught here, it fails only this call.
+        logging.exception('calls: A handler raised an error.')
+        text = (
+            f'{type(request).__name__} met an error; see the log of the called '
+            'process'
+        )
         return codec.seal(Refused(ResultCode.INTERNAL, text))
 
 
 def _known_code(code: int) -> ResultCode:
-    """Return a refusal's code; a newer release may have others."""
+    """Return the result code of a number, ``INTERNAL`` for an unknown one.
+
+    A peer of a newer release may send codes that this one does not have.
+    """
     try:
         return ResultCode(code)
     except ValueError:
--- a/redwingstream/wire/coap.py
+++ b/redwingstream/wire/coap.py
@@ -1,7 +1,7 @@
-"""CoAP messages (RFC 7252, 7641, 7959), as far as this project needs them.
+"""The parts of CoAP (RFC 7252, 7641, 7959) that this project needs.
 
-``aiocoap.message.Message`` serves as a codec only: its endpoints, observation
-handling and proxying stay unused.
+Only the message codec of aiocoap is used, not its endpoints, observation
+handling or proxying.
 """
 
 import aiocoap
@@ -30,9 +30,10 @@
 OBSERVE_CANCEL = 1
 OBSERVE_LIMIT = 1 << 24
 
-# Elective and safe to forward (RFC 7252, section 5.4.6), from the range for
-# experiments: how many milliseconds the caller will still wait.
-DEADLINE_OPTION = OptionNumber(65000)  # noqa: WPS432 - named right here
+# Option with the milliseconds that the caller will still wait.  Its number is
+# from the range for experiments, elective and safe to forward (RFC 7252,
+# section 5.4.6).
+DEADLINE_OPTION = OptionNumber(65000)  # noqa: WPS432 - named by the constant
 DEADLINE_BYTES = 4
 _MS_PER_SECOND = 1000
 
@@ -52,12 +53,12 @@
 
 
 def decode(packet: bytes) -> Message:
-    """Read a CoAP message.
+    """Decode a CoAP message.
 
     Raises
     ------
     WireError
-        When the bytes are no CoAP message.
+        When the bytes are not a CoAP message.
     """
     try:
         return Message.decode(packet)
@@ -66,36 +67,36 @@
 
 
 def encode(packet: Message) -> bytes:
-    """Return the bytes of a CoAP message, also of one that was decoded."""
+    """Return the bytes of a CoAP message; a decoded one is also accepted."""
     packet.direction = Direction.OUTGOING
     return packet.encode()
 
 
 def is_request(packet: Message) -> bool:
-    """Whether the message asks for something."""
+    """Return whether the message is a request."""
     return packet.code.is_request()
 
 
 def is_idempotent(packet: Message) -> bool:
-    """Whether running the request twice is the same as running it once."""
+    """Return whether running the request twice has the effect of one run."""
     return packet.code in _IDEMPOTENT_METHODS
 
 
 def deadline_of(packet: Message) -> float | None:
-    """Return how many seconds the caller will still wait, if it said so.
+    """Return the seconds that the caller will still wait; None if not given.
 
-    A deadline of more than ``DEADLINE_BYTES`` bytes counts as none.
+    A deadline of more than ``DEADLINE_BYTES`` bytes counts as not given.
     """
     options = packet.opt.get_option(DEADLINE_OPTION)
     if not options or len(options[0].value) > DEADLINE_BYTES:
-        # A number of any length is well-formed CoAP; divided, one of some
-        # hundred bytes raises OverflowError.
+        # CoAP allows a number of any length; dividing one of some hundred
+        # bytes raises OverflowError.
         return None
     return int.from_bytes(options[0].value, 'big') / _MS_PER_SECOND
 
 
 def set_deadline(packet: Message, seconds: float) -> None:
-    """Say in the message how long its sender will wait."""
+    """Set the deadline option: the seconds that the sender will still wait."""
     milliseconds = max(0, int(seconds * _MS_PER_SECOND))
     encoded = milliseconds.to_bytes(DEADLINE_BYTES, 'big')
     packet.opt.delete_option(DEADLINE_OPTION)
@@ -107,8 +108,8 @@
 ) -> Message:
     """Return a response with the request's token.
 
-    A confirmable request gets a piggybacked response (its message id in an
-    ACK); any other one a NON under the same message id.
+    A confirmable request gets a piggybacked response (an ACK with its message
+    id); any other request gets a NON with the same message id.
     """
     response = Message(code=code, payload=payload)
     response.token = request.token
@@ -117,27 +118,27 @@
     return response
 
 
-def refusal(request: Message, reason: ResultCode, come_back: int) -> Message:
-    """Return the final answer *not run*: 5.03 with when to come back.
+def refusal(request: Message, reason: ResultCode, retry_after: int) -> Message:
+    """Return the final answer *not run*: 5.03 with a time to try again.
 
     Parameters
     ----------
     request : Message
-        The request given up; it was surely not run.
+        The request; it must certainly not have run.
     reason : ResultCode
-        Why; its name stands in the payload.
-    come_back : int
-        Seconds, in the Max-Age option.
+        Why it was not run; the payload holds its name in lower case.
+    retry_after : int
+        Seconds after which to try again, sent in the Max-Age option.
     """
     response = reply_to(
         request, SERVICE_UNAVAILABLE, reason.name.lower().encode()
     )
-    response.opt.max_age = come_back
+    response.opt.max_age = retry_after
     return response
 
 
 def unknown_outcome(request: Message, reason: ResultCode) -> Message:
-    """Return the final answer *unknown*: 5.04, it may have run once."""
+    """Return the final answer *unknown*: 5.04; it may have run once."""
     return reply_to(request, GATEWAY_TIMEOUT, reason.name.lower().encode())
 
 
--- a/redwingstream/wire/datagrams.py
+++ b/redwingstream/wire/datagrams.py
@@ -1,7 +1,8 @@
-"""The UDP socket of a process, read dry in batches at each wake-up.
+"""The UDP socket of a process, which reads datagrams in batches.
 
-Stock asyncio hands over one datagram a wake-up; reading a non-blocking socket
-until it is empty takes a sixth of the time a packet.
+The datagram endpoint of asyncio reads one datagram per wake-up of the event
+loop.  Reading a non-blocking socket until it is empty takes a sixth of that
+time per packet.
 """
 
 import asyncio
@@ -15,20 +16,20 @@
 from redwingstream.errors import EndpointError
 
 BATCH = 64
-"""Datagrams read at one wake-up at most."""
+"""Maximum number of datagrams read per wake-up."""
 
 MAX_DATAGRAM = 65535
-"""Bytes of a UDP datagram at most."""
+"""Maximum size of a UDP datagram in bytes."""
 
 RECEIVE_BUFFER = 4 * 1024 * 1024
-"""Bytes of the receive buffer that the kernel is asked for."""
+"""Size in bytes of the receive buffer that is requested from the kernel."""
 
 Receiver = Callable[[bytes, tuple[str, int]], None]
 
 
 @attrs.define
 class DatagramCounters:
-    """What passed one socket since it was opened."""
+    """Counts of datagrams of one socket since it was opened."""
 
     received: int = 0
     sent: int = 0
@@ -41,7 +42,7 @@
     Parameters
     ----------
     sock : socket.socket
-        Bound and non-blocking; :func:`open_datagrams` makes and closes it.
+        Bound, non-blocking socket; :func:`open_datagrams` opens and closes it.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -50,17 +51,17 @@
 
     @property
     def endpoint(self) -> Endpoint:
-        """Where this socket is bound."""
+        """Endpoint that the socket is bound to."""
         host, port = self._sock.getsockname()[:2]
         return Endpoint(host, port)
 
     def send(self, payload: bytes, target: tuple[str, int]) -> None:
-        """Send one datagram; a full buffer or a refused peer only counts.
+        """Send one datagram; an error such as a full buffer is only counted.
 
         Notes
         -----
-        UDP may lose any datagram, so every protocol above repeats what must
-        arrive.  An error here is handled as one more loss.
+        UDP may lose any datagram, so every protocol above retransmits what
+        must arrive.  An error here counts as one more loss.
         """
         try:
             self._sock.sendto(payload, target)
@@ -70,15 +71,15 @@
         self.counters.sent += 1
 
     def read_batch(self, receiver: Receiver) -> None:
-        """Hand over what the socket holds, ``BATCH`` datagrams at most."""
+        """Pass waiting datagrams to the receiver, at most ``BATCH`` of them."""
         for _ in range(BATCH):
             try:
                 payload, source = self._sock.recvfrom(MAX_DATAGRAM)
             except BlockingIOError:
                 return
             except OSError:
-                # An ICMP error of an earlier send shows up here; the socket
-                # itself is still good.
+                # Reports an ICMP error of an earlier send; the socket itself
+                # still works.
                 continue
             self.counters.received += 1
             receiver(payload, source[:2])
@@ -88,14 +89,14 @@
 def open_datagrams(
     endpoint: Endpoint, receiver: Receiver
 ) -> Iterator[DatagramSocket]:
-    """Bind a UDP socket, read it on the running loop, close it at the end.
+    """Open a UDP socket on the running event loop while the context is open.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Where to bind; port 0 takes a free one.
+        Endpoint to bind; with port 0 the kernel chooses a free port.
     receiver : callable
-        Takes each datagram and its source.
+        Called with each datagram and its source address.
 
     Yields
     ------
--- a/redwingstream/wire/fabric.py
+++ b/redwingstream/wire/fabric.py
@@ -1,16 +1,17 @@
 """PROXY protocol v2 datagrams from and to the fabric.
 
-The fabric puts the caller's and the service's address before each datagram
-(published format, version 2, ``DGRAM``).  Towards the fabric the same header
-names the service as source and the caller as destination.  The codec is the
-``proxy-protocol`` library's; its listener and everything else it brings for
-proxying stays unused.
-
-The fabric sprays, so a balancer meets the headers of all flows, more than a
-cache of headers holds (``asv_bench.packet_path`` with many callers).  The first
-16 bytes are the same in all headers of a kind: the library makes those of an
-IPv4 datagram once, and the 12 bytes of addresses after them are packed and
-unpacked by ``struct``.  Every other header goes through the library each time.
+The fabric is the network in front of the balancers.  It puts a header with the
+addresses of caller and service before each datagram (published format, version
+2, ``DGRAM``).  In datagrams to the fabric the same header has the service as
+source and the caller as destination.  Of the ``proxy-protocol`` library only
+the codec is used, not its listener or proxying.
+
+The fabric sends the packets of one flow to any balancer, so a balancer receives
+the headers of all flows, more than a cache of headers holds
+(``asv_bench.packet_path`` with many callers).  The first 16 bytes are the same
+in all IPv4 headers.  The library builds them once, and ``struct`` packs and
+unpacks the 12 bytes of addresses after them.  Other headers go through the
+library, behind a small cache.
 """
 
 import functools
@@ -43,14 +44,14 @@
 
 @attrs.frozen
 class AddressPair:
-    """Between whom a datagram goes.
+    """The two addresses of a datagram.
 
     Parameters
     ----------
     caller : Endpoint
-        The caller's address as the fabric saw it.
+        Address of the caller, as seen by the fabric.
     service : Endpoint
-        The address that the caller sent to.
+        Address that the caller sent to.
     """
 
     caller: Endpoint
@@ -58,47 +59,48 @@
 
 
 def unwrap(datagram: bytes) -> tuple[AddressPair, bytes]:
-    """Split a datagram from the fabric into its way and its payload.
+    """Split a datagram from the fabric into its addresses and its payload.
 
     Raises
     ------
     WireError
-        When no complete PROXY protocol v2 header with addresses leads it.
+        When it does not start with a complete PROXY protocol v2 header that
+        has addresses.
     """
     if datagram[:_FIXED_SIZE] == _PREFIX_V4 and len(datagram) >= _SIZE_V4:
         return _read_v4(datagram), datagram[_SIZE_V4:]
     length_bytes = datagram[_LENGTH_OFFSET:_FIXED_SIZE]
     size = _FIXED_SIZE + int.from_bytes(length_bytes, 'big')
     if not _FIXED_SIZE < size <= min(len(datagram), _MAX_HEADER):
-        raise WireError('datagram has no whole PROXY protocol v2 header')
+        raise WireError('datagram has no complete PROXY protocol v2 header')
     return _read_header(datagram[:size]), datagram[size:]
 
 
-def wrap(way: AddressPair, payload: bytes) -> bytes:
-    """Return the datagram that takes an answer to a caller."""
-    return _make_header(way.service, way.caller) + payload
+def wrap(addresses: AddressPair, payload: bytes) -> bytes:
+    """Return the datagram to the fabric that carries an answer to a caller."""
+    return _make_header(addresses.service, addresses.caller) + payload
 
 
 def wrap_answer(caller: str, service: str, payload: bytes) -> bytes:
-    """Return the datagram that takes an answer to a caller.
+    """Return the datagram to the fabric that carries an answer to a caller.
 
     Parameters
     ----------
     caller, service : str
-        ``IP:PORT`` of both ends, as an agent names them.
+        ``IP:PORT`` of both ends, as sent by the agent.
     payload : bytes
         The packet.
 
     Raises
     ------
     WireError
-        When one of them is no endpoint.
+        When one of them is not an endpoint.
 
     Notes
     -----
-    The caller's endpoint is not looked up in the cache of ``parse_endpoint``:
-    a balancer meets more callers than it holds, so each look costs a parse and
-    each entry memory.
+    The caller's endpoint does not use the cache of ``parse_endpoint``.  A
+    balancer sees more callers than the cache holds, so each lookup would need
+    a parse anyway and each entry would cost memory.
     """
     try:
         return _pack_answer(caller, service) + payload
@@ -108,15 +110,15 @@
         ) from error
 
 
-def wrap_request(way: AddressPair, payload: bytes) -> bytes:
-    """Return the datagram by which a fabric hands in a caller's packet."""
-    return _make_header(way.caller, way.service) + payload
+def wrap_request(addresses: AddressPair, payload: bytes) -> bytes:
+    """Return the datagram in which the fabric sends a caller's packet."""
+    return _make_header(addresses.caller, addresses.service) + payload
 
 
 def unwrap_answer(datagram: bytes) -> tuple[AddressPair, bytes]:
-    """Split a datagram that goes out to the fabric; see :func:`unwrap`."""
-    backwards, payload = unwrap(datagram)
-    return AddressPair(backwards.service, backwards.caller), payload
+    """Split a datagram to the fabric; see :func:`unwrap`."""
+    reversed_pair, payload = unwrap(datagram)
+    return AddressPair(reversed_pair.service, reversed_pair.caller), payload
 
 
 @functools.lru_cache(maxsize=_CACHED_HEADERS)
@@ -140,11 +142,11 @@
         datagram, _FIXED_SIZE
     )
     caller = Endpoint(socket.inet_ntoa(source_host), source_port)
-    return AddressPair(caller, _service_of(dest_host, dest_port))
+    return AddressPair(caller, _cached_service(dest_host, dest_port))
 
 
 @functools.lru_cache(maxsize=_CACHED_SERVICES)
-def _service_of(host: bytes, port: int) -> Endpoint:
+def _cached_service(host: bytes, port: int) -> Endpoint:
     return Endpoint(socket.inet_ntoa(host), port)
 
 
--- a/redwingstream/wire/frames.py
+++ b/redwingstream/wire/frames.py
@@ -1,9 +1,9 @@
-"""Authentic frames with replay protection round one message.
+"""Authenticated frames with replay protection, each around one message.
 
 Layout, big-endian: version (1 byte), kind (1), boot (8), sequence (8), MAC
-(16), msgpack payload.  ``boot`` is drawn at random by each process when it
-starts; ``sequence`` counts the frames that it has sent since.  The MAC is keyed
-BLAKE2b over everything else.
+(16), msgpack payload.  ``boot`` is a random number that each process draws when
+it starts; ``sequence`` numbers the frames that it has sent since then.  The MAC
+is keyed BLAKE2b over all other bytes.
 """
 
 import hashlib
@@ -19,14 +19,14 @@
 
 VERSION = 1
 MAC_SIZE = 16
-# Bytes of a key; BLAKE2b takes no longer one.
+# Size of a key in bytes; 64 is the maximum of BLAKE2b.
 KEY_SIZE_MIN = 16
 KEY_SIZE_MAX = 64
-# Bytes of a frame at most; it fits one UDP datagram.
+# Maximum size of a frame in bytes; it fits one UDP datagram.
 MAX_FRAME = 60000
-# How far below the highest sequence number of a boot a new one may be.
+# A sequence number this far below the highest one of its boot is rejected.
 REPLAY_WINDOW = 4096
-# Boots whose windows are kept.
+# Number of boots whose replay windows are kept.
 MAX_BOOTS = 32768
 
 _PREFIX = struct.Struct('>BBQQ')
@@ -35,15 +35,15 @@
 
 
 @attrs.frozen
-class Opened:
-    """A frame that was authentic and new.
+class OpenedFrame:
+    """Content of a frame that is authentic and not a replay.
 
     Parameters
     ----------
     boot : int
-        Which run of which process sent it.
+        Boot number of the sender.
     payload : object
-        The message that it carried.
+        Decoded message.
     """
 
     boot: int
@@ -51,14 +51,18 @@
 
 
 @attrs.define
-class _Window:
-    """Sequence numbers seen of one boot: the highest and a bit map below."""
+class _ReplayWindow:
+    """Sequence numbers received of one boot.
+
+    ``highest`` is the highest one.  Bit n of ``seen`` stands for the number n
+    below it.
+    """
 
     highest: int = 0
     seen: int = 0
 
-    def take(self, sequence: int) -> bool:
-        """Return whether the number is new, and remember it."""
+    def accept(self, sequence: int) -> bool:
+        """Return whether a sequence number is new, and record it."""
         ahead = sequence - self.highest
         if ahead > 0:
             kept = self.seen << ahead if ahead < REPLAY_WINDOW else 0
@@ -80,16 +84,15 @@
     key : bytes
         ``KEY_SIZE_MIN`` to ``KEY_SIZE_MAX`` bytes, the same in every process.
     max_frame : int
-        Longest frame in bytes; the default fits one UDP datagram.
+        Maximum size of a frame in bytes; the default fits one UDP datagram.
 
     Notes
     -----
-    The replay window guards against a frame that the network or an attacker
-    delivers again: without it an old heartbeat could keep a dead member in the
-    view.  It holds because each boot number is drawn at random and a sequence
-    number is used once.  The windows of the last 32768 boots are kept; a
-    replay of an older boot is stopped by the incarnations and view numbers in
-    the messages themselves.
+    The replay window rejects a frame that the network or an attacker delivers
+    again; otherwise an old heartbeat could keep a dead member in the view.  It
+    works because boot numbers are random and each sequence number is used once.
+    The windows of the last 32768 boots are kept.  A replay from an older boot
+    is rejected by the incarnations and view numbers in the messages.
     """
 
     def __init__(self, key: bytes, max_frame: int = MAX_FRAME) -> None:
@@ -97,7 +100,7 @@
         self._max_frame = max_frame
         self._boot = secrets.randbits(_BOOT_BITS)
         self._sequence = 0
-        self._window_by_boot: OrderedDict[int, _Window] = OrderedDict()
+        self._window_by_boot: OrderedDict[int, _ReplayWindow] = OrderedDict()
 
     @property
     def boot(self) -> int:
@@ -105,7 +108,7 @@
         return self._boot
 
     def seal(self, payload: object) -> bytes:
-        """Return the frame that carries a message.
+        """Return a frame with a message.
 
         Raises
         ------
@@ -122,8 +125,8 @@
         prefix = _PREFIX.pack(VERSION, kind, self._boot, self._sequence)
         return b''.join((prefix, self._mac(prefix, body), body))
 
-    def open(self, frame: bytes) -> Opened:
-        """Check a frame and return what it carried.
+    def open(self, frame: bytes) -> OpenedFrame:
+        """Verify a frame and return its content.
 
         Raises
         ------
@@ -144,19 +147,19 @@
             raise WireError('frame has a wrong MAC', ResultCode.UNAUTHENTIC)
         if version != VERSION:
             raise WireError(f'frame version {version}; expected {VERSION}')
-        if not self._window(boot).take(sequence):
-            raise WireError('frame was seen before', ResultCode.REPLAYED)
-        return Opened(boot, messages.decode(kind, body))
+        if not self._window(boot).accept(sequence):
+            raise WireError('frame was received before', ResultCode.REPLAYED)
+        return OpenedFrame(boot, messages.decode(kind, body))
 
     def _mac(self, prefix: bytes, body: bytes) -> bytes:
         return hashlib.blake2b(
             prefix + body, key=self._key, digest_size=MAC_SIZE
         ).digest()
 
-    def _window(self, boot: int) -> _Window:
+    def _window(self, boot: int) -> _ReplayWindow:
         window = self._window_by_boot.get(boot)
         if window is None:
-            window = _Window()
+            window = _ReplayWindow()
             self._window_by_boot[boot] = window
             if len(self._window_by_boot) > MAX_BOOTS:
                 self._window_by_boot.popitem(last=False)
--- a/redwingstream/wire/messages.py
+++ b/redwingstream/wire/messages.py
@@ -1,10 +1,10 @@
 """Numbered message classes and their msgpack codec.
 
-A message is a frozen ``attrs`` class with a kind number.  The number stands in
-the frame, so that a receiver picks the class before it decodes anything, and
-msgspec checks every field against its annotation while it decodes.
+A message is a frozen ``attrs`` class with a kind number.  The frame holds the
+number, so that a receiver knows the class before it decodes the message, and
+msgspec checks each field against its annotation while it decodes.
 
-Kind numbers by slice: 1-15 wire and membership, 16-31 tables and operators,
+Kind numbers by area: 1-15 wire and membership, 16-31 tables and operators,
 32-41 consensus, 42-47 commands of the replicated log (``tables/machine``),
 48-63 forwarding, 64-79 placement, 80-95 directory.
 """
@@ -34,7 +34,7 @@
     Parameters
     ----------
     kind : int
-        1 to 255, unique; it never changes its meaning.
+        Unique number, 1 to 255.  It must never be reused for another class.
 
     Returns
     -------
@@ -44,7 +44,7 @@
     Raises
     ------
     ValueError
-        When the number is out of range or taken.
+        When the number is out of range or already used.
     """
 
     def decorate(plain: MessageT) -> MessageT:
@@ -61,14 +61,14 @@
 
 
 def decode(kind: int, payload: bytes | memoryview) -> object:
-    """Read the message of a kind.
+    """Decode a message of a kind.
 
     Parameters
     ----------
     kind : int
-        The number that stood in the frame.
+        Kind number in the frame.
     payload : bytes
-        The msgpack bytes.
+        Message in msgpack.
 
     Returns
     -------
@@ -78,7 +78,7 @@
     Raises
     ------
     WireError
-        When the kind is unknown or a field does not fit its annotation.
+        When the kind is unknown or a field does not match its annotation.
     """
     decoder = _decoder_by_kind.get(kind) or _make_decoder(kind)
     try:
--- a/redwingstream/wire/tests/test_calls.py
+++ b/redwingstream/wire/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls end, whatever the other side or the library does."""
+"""Tests of calls: each ends, whatever the peer or the library does."""
 
 import asyncio
 
@@ -20,16 +20,16 @@
 
 KEY = b'k' * 32
 ROUNDS = 30
-PATIENCE = 60
+TEST_TIMEOUT = 60
 
 
 def codec() -> FrameCodec:
-    """Return a codec as calls use it."""
+    """Return a codec with the frame size of calls."""
     return FrameCodec(KEY, MAX_CALL_SIZE)
 
 
 async def answer(request: object) -> object:
-    """Answer a probe."""
+    """Answer a probe with its revision."""
     assert isinstance(request, Probe)
     return ProbeAck(request.revision)
 
@@ -41,19 +41,19 @@
 
 
 async def refuse(request: object) -> object:
-    """Refuse with a code."""
+    """Refuse the call with a code."""
     raise CallFailedError('not here; ask c2', ResultCode.NOT_LEADER)
 
 
 async def fail(request: object) -> object:
-    """Fail as a handler with an error in it does; answer probes."""
+    """Raise an unexpected error on a ``ProbeAck``; answer probes."""
     if isinstance(request, ProbeAck):
         raise KeyError('no such row')
     return await answer(request)
 
 
 async def ask(
-    calls: CallClient, endpoint: Endpoint, timeout: float = PATIENCE
+    calls: CallClient, endpoint: Endpoint, timeout: float = TEST_TIMEOUT
 ) -> int:
     """Call with a probe; return the revision in the answer."""
     answered = await calls.call(endpoint, Probe(7), ProbeAck, timeout)
@@ -61,7 +61,7 @@
 
 
 class TestCalls:
-    """One server, one client."""
+    """Calls from one client to one server."""
 
     async def test_answers_many_calls_at_once(self) -> None:
         endpoint = free_endpoint()
@@ -72,7 +72,7 @@
                 )
         assert set(answers) == {7}
 
-    async def test_passes_on_code_and_text_of_a_refusal(self) -> None:
+    async def test_raises_code_and_text_of_a_refusal(self) -> None:
         endpoint = free_endpoint()
         async with serve_calls(endpoint, codec(), refuse):
             with CallClient(codec()).opened() as calls:
@@ -80,7 +80,7 @@
                     await ask(calls, endpoint)
         assert caught.value.code is ResultCode.NOT_LEADER
 
-    async def test_gives_up_a_call_that_is_not_answered(self) -> None:
+    async def test_times_out_without_an_answer(self) -> None:
         endpoint = free_endpoint()
         async with serve_calls(endpoint, codec(), never_answer):
             with CallClient(codec()).opened() as calls:
@@ -89,11 +89,10 @@
         assert caught.value.code is ResultCode.TIMED_OUT
 
     async def test_answers_after_many_errors_of_a_handler(self) -> None:
-        """A process answers no call any more, and looks well otherwise.
+        """Errors of a handler must not stop a process from answering calls.
 
-        A request meets an error in the handler.  The task that served it
-        ended without a word; after as many of them as there are tasks, nobody
-        is left to take a call: no tables, no changes, no dump.
+        If an error ended the task that serves the call, no task would be left
+        after as many errors as there are tasks: no tables, changes or dumps.
         """
         endpoint = free_endpoint()
         async with serve_calls(endpoint, codec(), fail):
@@ -104,12 +103,12 @@
                 assert await ask(calls, endpoint, 1) == 7
         assert caught.value.code is ResultCode.INTERNAL
 
-    async def test_keeps_few_connections(self) -> None:
-        """A balancer has no file descriptors left after weeks of churn.
+    async def test_limits_its_connections(self) -> None:
+        """A process must not run out of file descriptors.
 
-        Agents restart at other addresses.  A connection to each process that
-        was ever asked for the tables stayed, and those to processes that are
-        gone went on dialling.
+        Agents restart at other addresses.  If the connection to each process
+        that was ever called stayed open, those to processes that are gone
+        would redial for ever.
         """
         with CallClient(codec()).opened() as calls:
             for _ in range(2 * MAX_CONNECTIONS):
@@ -126,14 +125,13 @@
             async with serve_calls(endpoint, codec(), answer):
                 assert await ask(calls, endpoint) == 7
 
-    async def test_stops_in_the_middle_of_answers(self) -> None:
-        """A process that was told to stop hangs for ever.
+    async def test_stops_while_calls_are_answered(self) -> None:
+        """A process that stops while it answers a call must not hang.
 
-        A call is being answered when the process stops.  pynng completes the
-        send at the moment in which it is cancelled and swallows the
-        cancellation; the task goes on to wait for the next call.
+        pynng drops a cancellation that arrives when a send completes, and the
+        task would then wait for the next call for ever.
         """
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             for _ in range(ROUNDS):
                 endpoint = free_endpoint()
                 with CallClient(codec()).opened() as calls:
@@ -148,23 +146,23 @@
 
 
 class TestKeepCancellation:
-    """A cancellation is never lost, whatever the library does with it."""
+    """A cancellation that the library drops is raised again."""
 
-    async def test_raises_a_cancellation_that_was_swallowed(self) -> None:
-        """A process that is told to stop never stops.
+    async def test_raises_a_cancellation_that_was_dropped(self) -> None:
+        """A dropped cancellation must not keep a process from stopping.
 
-        Its answer to a call has just been sent when the task is cancelled;
-        the library drops the cancellation and returns, and the task waits for
+        The task is cancelled when the answer to a call has just been sent.  The
+        library drops the cancellation and returns, and the task would wait for
         the next call for ever.
         """
 
-        async def swallow() -> str:
+        async def drop_cancellation() -> str:
             try:
                 await asyncio.Event().wait()
             except asyncio.CancelledError:
                 return 'sent'
 
-        task = asyncio.create_task(keep_cancellation(swallow()))
+        task = asyncio.create_task(keep_cancellation(drop_cancellation()))
         await asyncio.sleep(0)
         task.cancel()
         with pytest.raises(asyncio.CancelledError):
--- a/redwingstream/wire/tests/test_coap.py
+++ b/redwingstream/wire/tests/test_coap.py
@@ -1,4 +1,4 @@
-"""CoAP messages as callers, agents and servers exchange them."""
+"""Tests of the CoAP messages of callers, agents and servers."""
 
 import pytest
 from hypothesis import given
@@ -20,7 +20,7 @@
 
 
 class TestCodec:
-    """From bytes and back, whatever the bytes."""
+    """Messages are encoded and decoded; other bytes are refused."""
 
     def test_returns_what_was_encoded(self) -> None:
         packet = coap.encode(request_of())
@@ -45,20 +45,20 @@
 
 
 class TestAnswers:
-    """Final answers carry what the caller needs."""
+    """Final answers and deadlines."""
 
-    def test_not_run_says_when_to_come_back(self) -> None:
+    def test_not_run_says_when_to_try_again(self) -> None:
         refusal = coap.refusal(request_of(), ResultCode.OVERLOADED, 3)
         read = coap.decode(coap.encode(refusal))
         assert read.code == coap.SERVICE_UNAVAILABLE
         assert read.opt.max_age == 3
         assert (read.mid, read.token, read.mtype) == (7, b'ab', coap.ACK)
 
-    def test_unknown_is_another_answer(self) -> None:
+    def test_unknown_outcome_is_a_gateway_timeout(self) -> None:
         answer = coap.unknown_outcome(request_of(), ResultCode.OUTCOME_UNKNOWN)
         assert answer.code == coap.GATEWAY_TIMEOUT
 
-    def test_deadline_travels(self) -> None:
+    def test_deadline_is_encoded_and_decoded(self) -> None:
         request = request_of()
         coap.set_deadline(request, 9)
         coap.set_deadline(request, 2.5)
@@ -69,7 +69,7 @@
         ('code', 'idempotent'),
         [(coap.GET, True), (coap.POST, False), (coap.aiocoap.PUT, True)],
     )
-    def test_knows_what_may_be_repeated(
+    def test_knows_idempotent_methods(
         self, code: coap.aiocoap.Code, *, idempotent: bool
     ) -> None:
         assert coap.is_idempotent(request_of(code)) is idempotent
--- a/redwingstream/wire/tests/test_endpoints.py
+++ b/redwingstream/wire/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that cannot be read or bound are named."""
+"""Tests of endpoints that cannot be parsed or bound; errors name them."""
 
 import socket
 
@@ -19,19 +19,19 @@
 
 
 class TestParseEndpoint:
-    """Texts that are no endpoint."""
+    """Texts that are not endpoints are refused."""
 
     def test_refuses_a_port_of_thousands_of_digits(self) -> None:
-        """A frame with such an address meets an error that nobody expects."""
+        """Such an address in a frame must raise only the documented error."""
         with pytest.raises(SettingError):
             parse_endpoint(f'127.0.0.1:{"1" * 5000}')
 
 
 class TestTakenEndpoint:
-    """A daemon is started twice, or beside something else on its port."""
+    """Another process, or the same daemon twice, uses the port."""
 
     async def test_calls(self) -> None:
-        """Another process listens at the TCP port; the error names it."""
+        """The error names a TCP endpoint that is in use."""
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as taken:
             taken.bind(('127.0.0.1', 0))
             taken.listen()
@@ -42,7 +42,7 @@
         assert met.value.code is ResultCode.ADDRESS_IN_USE
 
     async def test_datagrams(self) -> None:
-        """Another process has the UDP port; the error names it."""
+        """The error names a UDP endpoint that is in use."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
             taken.bind(('127.0.0.1', 0))
             endpoint = Endpoint(*taken.getsockname())
--- a/redwingstream/wire/tests/test_frames.py
+++ b/redwingstream/wire/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames: authentic, whole and new, or refused."""
+"""Tests of frames: those not authentic, complete and new are refused."""
 
 import pytest
 from hypothesis import given
@@ -19,7 +19,7 @@
 
 
 class TestFrameCodec:
-    """One side seals, the other opens."""
+    """One codec seals frames and another one opens them."""
 
     def test_returns_what_was_sealed(self) -> None:
         sender = FrameCodec(KEY)
@@ -32,17 +32,16 @@
         assert_refused(FrameCodec(KEY), frame, ResultCode.UNAUTHENTIC)
 
     def test_refuses_a_frame_delivered_twice(self) -> None:
-        """An old heartbeat delivered again would keep a dead member alive.
+        """A replayed heartbeat must not keep a dead member in the view.
 
-        The network delivers a frame, the sender dies, the network delivers
-        the same frame once more: the second must not count as a sign of life.
+        The sender dies, and the network delivers one of its frames again.
         """
         codec = FrameCodec(KEY)
         frame = FrameCodec(KEY).seal(Probe(7))
         codec.open(frame)
         assert_refused(codec, frame, ResultCode.REPLAYED)
 
-    def test_takes_frames_out_of_order_once_each(self) -> None:
+    def test_accepts_reordered_frames_once_each(self) -> None:
         sender, codec = FrameCodec(KEY), FrameCodec(KEY)
         frames = [sender.seal(Probe(number)) for number in range(10)]
         for frame in reversed(frames):
