--- a/redwingstream/agent/factory.py
+++ b/redwingstream/agent/factory.py
@@ -16,7 +16,7 @@
 )
 from redwingstream.agent.store import AgentStore
 from redwingstream.flows.feeds import FeedCarrier
-from redwingstream.flows.paths import ReturnPaths
+from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.upstream import Upstream
 from redwingstream.node.metrics import Metrics
 from redwingstream.placement.keeper import BucketKeeper
--- a/redwingstream/agent/flow_placement.py
+++ b/redwingstream/agent/flow_placement.py
@@ -20,7 +20,7 @@
 from redwingstream.agent.wait_queue import Waiter
 from redwingstream.endpoints import parse_endpoint
 from redwingstream.errors import ResultCode
-from redwingstream.flows.blocks import is_later_block
+from redwingstream.flows.block_transfers import is_later_block
 from redwingstream.flows.records import FlowKey, FlowRecord
 from redwingstream.forwarding.messages import Assigned, Packet
 from redwingstream.placement.messages import BucketContents
--- a/redwingstream/agent/incoming_assignments.py
+++ b/redwingstream/agent/incoming_assignments.py
@@ -13,7 +13,7 @@
 from redwingstream.agent.runs import Run, RunEnd, request_deadline
 from redwingstream.agent.wait_queue import Waiter
 from redwingstream.errors import ResultCode, WireError
-from redwingstream.flows.blocks import is_later_block
+from redwingstream.flows.block_transfers import is_later_block
 from redwingstream.flows.records import FlowKey, FlowRecord
 from redwingstream.forwarding.messages import Assigned
 from redwingstream.requests.checksum import request_checksum
--- a/redwingstream/agent/parts.py
+++ b/redwingstream/agent/parts.py
@@ -11,7 +11,7 @@
 from redwingstream.agent.store import AgentStore
 from redwingstream.endpoints import parse_endpoint
 from redwingstream.flows.feeds import FeedCarrier
-from redwingstream.flows.paths import ReturnPaths
+from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.upstream import Upstream
 from redwingstream.membership.peers import PeerLinks
 from redwingstream.node.metrics import Metrics
--- a/redwingstream/agent/store.py
+++ b/redwingstream/agent/store.py
@@ -1,6 +1,6 @@
 """Ledger, flows and transfers of an agent, stored by bucket."""
 
-from redwingstream.flows.blocks import BlockTransfers
+from redwingstream.flows.block_transfers import BlockTransfers
 from redwingstream.flows.table import FlowTable
 from redwingstream.placement.messages import BucketContents
 from redwingstream.requests.ledger import Ledger
--- a/redwingstream/flows/effects.py
+++ b/redwingstream/flows/effects.py
@@ -1,6 +1,7 @@
 """What the flow logic asks its agent to carry out.
 
-Each is a data class to ``match`` on.
+The flow logic does no input or output itself.  It returns these data classes,
+and the agent distinguishes them with ``match``.
 """
 
 from collections.abc import Hashable
@@ -13,7 +14,7 @@
 from redwingstream.requests.records import RequestState
 
 FRESH_SOURCE = -1
-"""Source of a probe: a socket opened for it alone."""
+"""Socket number of a probe: a new socket is opened for it."""
 
 
 @attrs.frozen
@@ -25,8 +26,8 @@
     packet : bytes
         The CoAP message.
     source : int
-        Which of the agent's sockets to the server; ``FRESH_SOURCE`` asks for
-        a new one, whose answers come back under the same number.
+        Index of the agent's socket to the server; ``FRESH_SOURCE`` asks for a
+        new one, whose answers are handed in under the same number.
     """
 
     packet: bytes
@@ -40,9 +41,9 @@
     Parameters
     ----------
     owner : hashable
-        What the request was sent for.
+        Object for which the request was sent.
     response : Message
-        The answer; its token and message id are the server side's.
+        The answer, with the token and message id used towards the server.
     latency : float
         Seconds since the request was first sent.
     """
@@ -59,21 +60,31 @@
     Parameters
     ----------
     owner : hashable
-        What the request was sent for.
+        Object for which the request was sent.
     state : RequestState
-        ``NOT_RUN`` only when it surely was not run, else ``UNKNOWN``.
-    why : ResultCode
-        The reason for logs and answers.
+        ``NOT_RUN`` only when the server has certainly not run the request,
+        else ``UNKNOWN``.
+    reason : ResultCode
+        Reason for logs and for the caller's answer.
     """
 
     owner: Hashable
     state: RequestState
-    why: ResultCode
+    reason: ResultCode
 
 
 @attrs.frozen
 class FeedUpdate:
-    """The server's notification of a feed, newer than those before it."""
+    """A notification of the server, newer than all earlier ones of its feed.
+
+    Parameters
+    ----------
+    owner : hashable
+        Object for which the feed was registered.
+    notification : Message
+        The notification, with the token and message id used towards the
+        server.
+    """
 
     owner: Hashable
     notification: Message
@@ -81,39 +92,39 @@
 
 @attrs.frozen
 class FeedEnded:
-    """The server no longer carries a feed.
+    """The server no longer serves a feed.
 
     Parameters
     ----------
     owner : hashable
-        What the feed was opened for.
-    why : ResultCode
+        Object for which the feed was registered.
+    reason : ResultCode
         ``OK`` when the server ended it with a response.
     response : Message or None
         That response.
     """
 
     owner: Hashable
-    why: ResultCode
+    reason: ResultCode
     response: Message | None = None
 
 
 @attrs.frozen
 class ServerRestarted:
-    """The server has lost what it knew, so it is in cold start."""
+    """The server has restarted: its state is lost and it is cold."""
 
 
 @attrs.frozen
 class ServerSilent:
-    """Several exchanges in a row got nothing.
+    """Several requests in a row timed out on one socket.
 
     Parameters
     ----------
     source : int
-        Socket on which nothing comes back.
+        Index of the socket on which no packet arrives.
     probe_answered : bool
-        True when a fresh socket gets answers: the link is silent, not the
-        server, and the socket is to be replaced.
+        True when a new socket gets an answer: the socket is at fault, not the
+        server, and has to be replaced.
     """
 
     source: int
@@ -129,7 +140,7 @@
     balancer : str
         ``IP:PORT`` of the balancer.
     caller, service : str
-        ``IP:PORT`` of both ends of the flow.
+        ``IP:PORT`` of both endpoints of the flow.
     payload : bytes
         The CoAP message.
     """
@@ -142,21 +153,23 @@
 
 @attrs.frozen
 class RegistrationId:
-    """Owner of a feed at the server: one registration of it.
+    """Identifies one registration of a feed at the server.
+
+    It is the ``owner`` of the feed's exchange with the server.
 
     Parameters
     ----------
     key : FlowKey
-        Which feed.
+        Key of the feed.
     generation : int
-        Of its record.
+        Generation of the feed's record.
     attempt : int
-        Number of the registration, never used twice by a carrier.
+        Number of the registration; a carrier uses each number once.
 
     Notes
     -----
-    What an earlier registration still yields is so told apart from what
-    belongs to the present one, also when a feed is ended and opened again.
+    The attempt distinguishes notifications of an earlier registration from
+    those of the current one, also when a feed is ended and opened again.
     """
 
     key: FlowKey
@@ -166,7 +179,15 @@
 
 @attrs.frozen
 class OpenFeed:
-    """Register a feed at the server."""
+    """Register a feed at the server.
+
+    Parameters
+    ----------
+    source : RegistrationId
+        Identifies this registration in the effects that concern it.
+    request : Message
+        The caller's registration.
+    """
 
     source: RegistrationId
     request: Message
@@ -174,30 +195,45 @@
 
 @attrs.frozen
 class CloseFeed:
-    """Deregister a feed at the server."""
+    """Deregister a feed at the server.
+
+    Parameters
+    ----------
+    source : RegistrationId
+        The registration to end.
+    """
 
     source: RegistrationId
 
 
 @attrs.frozen
 class FeedClosed:
-    """A feed has ended; its home removes the record.
+    """A feed has ended; its home has to remove the record.
 
     Parameters
     ----------
     record : FlowRecord
         The closed record.
-    why : ResultCode
+    reason : ResultCode
         ``OK`` when the caller ended it.
     """
 
     record: FlowRecord
-    why: ResultCode
+    reason: ResultCode
 
 
 @attrs.frozen
 class GenerationWanted:
-    """A feed's numbers are nearly used up; its home gives it a new record."""
+    """A feed needs a record with a higher generation from its home.
+
+    Either the sequence numbers of its generation are nearly used up, or its
+    caller would take them for older than those of the former carrier.
+
+    Parameters
+    ----------
+    record : FlowRecord
+        The feed's current record.
+    """
 
     record: FlowRecord
 
--- a/redwingstream/flows/feed_state.py
+++ b/redwingstream/flows/feed_state.py
@@ -1,4 +1,4 @@
-"""What a carrier knows of each feed that it carries."""
+"""State of each feed that an agent carries, with its limits and counters."""
 
 import attrs
 
@@ -9,39 +9,66 @@
 
 @attrs.frozen
 class FeedLimits:
-    """Bounds and times, in seconds, of the feeds of a carrier.
+    """Limits of the feeds of a carrier; times are in seconds.
 
     Parameters
     ----------
     capacity : int
-        Feeds carried at most.
+        Maximum count of feeds carried.
     ack_timeout : float
-        How long the first copy of a notification waits for its ACK; each
-        repeat waits twice as long.
+        Time to wait for the ACK of the first copy of a notification; the time
+        doubles with each retransmission.
     max_ack_timeout : float
-        Longest wait of a repeat.  Without it one unlucky notification keeps a
-        live feed silent for as long as all its repeats took together.
+        Maximum time to wait for the ACK of a retransmission.  Without it, a
+        notification that is lost repeatedly would keep a live feed silent for
+        as long as all its retransmissions took together.
     max_repeats : int
-        Repeats without an ACK after which the caller counts as gone.
-    come_back : int
-        Least number of seconds in a Max-Age; up to as many again are added
-        at random, so that callers do not come back in step.
-    first_backoff, max_backoff : float
-        Between two tries to register a feed at the server.
+        Retransmissions without an ACK after which the caller counts as gone.
+    min_max_age : int
+        Minimum Max-Age of a final answer, after which the caller may try
+        again.  Up to as many seconds are added at random, so that callers do
+        not return at the same time.
+    initial_backoff, max_backoff : float
+        Minimum and maximum delay between two attempts to register a feed at
+        the server, before the random spread.
     """
 
     capacity: int = 8192
     ack_timeout: float = 0.4
     max_ack_timeout: float = 2.0
     max_repeats: int = 12
-    come_back: int = 5
-    first_backoff: float = 0.25
+    min_max_age: int = 5
+    initial_backoff: float = 0.25
     max_backoff: float = 30.0
 
 
 @attrs.define
 class FeedCounters:
-    """What became of the feeds and notifications of a carrier."""
+    """Counts of the events of a carrier's feeds and notifications.
+
+    Parameters
+    ----------
+    opened, taken : int
+        Feeds that callers registered here; those taken over from another
+        carrier.
+    notified, repeats : int
+        Notifications sent, and their retransmissions.
+    superseded : int
+        Notifications that were replaced by a newer one before an ACK.
+    late : int
+        Notifications of an earlier registration, which are dropped.
+    rejected : int
+        Feeds that a caller ended with an RST.
+    unanswered : int
+        Feeds ended because the caller acknowledged no retransmission.
+    refused : int
+        Feeds not accepted: the carrier is full, or the record has no
+        registration.
+    given_up : int
+        Feeds ended early by their agent.
+    moved_away : int
+        Feeds that their home placed at another carrier.
+    """
 
     opened: int = 0
     taken: int = 0
@@ -58,20 +85,21 @@
 
 @attrs.define(eq=False)
 class Delivery:
-    """How far the newest state of a feed has come towards its caller.
+    """Delivery of a feed's notifications to its caller.
 
     Parameters
     ----------
     counter : int
-        Notifications sent under the present generation.
+        Notifications sent under the current generation.
     message_id : int or None
-        Of the notification that waits for its ACK.
+        Message id of the notification that waits for its ACK.
     packet : bytes
         The last notification sent.
     held : bytes
-        A newer one that waits; empty when there is none.
+        A newer notification that waits for that ACK; empty if there is none.
     tried : list of str
-        Balancers through which went what waits for its ACK.
+        Balancers through which copies of the unacknowledged notification were
+        sent, in order.
     """
 
     counter: int = 0
@@ -88,39 +116,42 @@
     Parameters
     ----------
     record : FlowRecord
-        As the home has it.
+        The record that the feed's home has stored.
     delivery : Delivery
-        The caller's side.
-    source : FeedSource or None
-        The server's side; None while the feed is not registered there.
+        Delivery of notifications to the caller.
+    source : RegistrationId or None
+        Current registration at the server; None while the feed is not
+        registered there.
     waiting_since : float
-        Since when it is not.
+        Start of the time without a registration at the server, in seconds, by
+        the event loop's clock.
     asked_at : float or None
-        When its home was last asked to place it elsewhere.
+        When the home was last asked to place the feed at another carrier.
     failures : int
         Registrations that failed since the last notification.
     established : bool
-        Whether the caller counts on it: it has had a notification.
+        Whether the server has sent a notification, here or at a former
+        carrier, so that the caller relies on the feed.
     closing : bool
-        True while the final answer waits for its ACK.
+        Whether the final answer has been sent and waits for its ACK.
     """
 
     record: FlowRecord
     delivery: Delivery
     source: RegistrationId | None = None
-    waiting_since: float = 0
-    asked_at: float | None = None
+    unregistered_at: float = 0
+    relocation_requested_at: float | None = None
     failures: int = 0
     established: bool = False
     closing: bool = False
 
     @property
     def key(self) -> FlowKey:
-        """Name of the feed."""
+        """Key of the feed."""
         return self.record.key
 
     @property
     def observe(self) -> int:
-        """Number of the last notification sent."""
+        """Sequence number of the last notification sent."""
         last = max(0, self.delivery.counter - 1)
         return sequence_number(self.record.generation, last)
--- a/redwingstream/flows/feeds.py
+++ b/redwingstream/flows/feeds.py
@@ -1,4 +1,8 @@
-"""Feeds that an agent carries: between its server and the callers."""
+"""The feeds that an agent carries, between its server and the callers.
+
+:class:`FeedCarrier` receives packets and times and returns effects for the
+agent to carry out; it does no input or output itself.
+"""
 
 from aiocoap.message import Message
 
@@ -19,54 +23,56 @@
 from redwingstream.wire import coap
 
 ASK_INTERVAL = 1.0
-"""Seconds between two questions to place a feed elsewhere."""
+"""Seconds between two requests to place the same feed at another carrier."""
 
 FINAL_COPIES = 2
-"""Balancers through which the final answer of a feed given up goes."""
+"""Number of balancers through which the final answer is sent when a feed is
+ended early."""
 
 
 class FeedCarrier(FeedQueries):
-    """Feeds of callers that this agent's server carries.
+    """Carries feeds of callers that this agent's server serves.
 
     Parameters
     ----------
     host, pool : str
         Names of the agent's host and of its pool.
     paths : ReturnPaths
-        The balancers heard from lately.
+        The balancers from which packets arrived recently.
     rng : random.Random
-        Spreads times, and gives first message ids.
+        Random generator for the spread of times and first message ids.
     limits : FeedLimits, optional
-        Bounds and times.
+        Limits and timeouts.
 
     Notes
     -----
-    The record of a feed at its home decides: it is registered here only after
-    home and heir have recorded it, and its generation leads every number that
-    the caller sees.
+    The record of a feed at its home is authoritative.  The feed is registered
+    here only after home and heir have stored the record, and the generation
+    of the record forms the high bits of the sequence numbers that the caller
+    sees.
     """
 
     def register(
         self, record: FlowRecord, request: Message, balancer: str, now: float
     ) -> list[FeedEffect]:
-        """Take a caller's registration, or its repetition.
+        """Handle a caller's registration, or a repeated one.
 
         Parameters
         ----------
         record : FlowRecord
-            As recorded by the home.
+            The record that the home has stored.
         request : Message
-            The registration; its empty ACK goes out at once, so that the
-            caller does not repeat it while the server is asked.
+            The registration.  It is acknowledged at once with an empty ACK, so
+            that the caller does not retransmit it before the server answers.
         balancer : str
-            Where it came from.
+            ``IP:PORT`` of the balancer from which it came.
         now : float
-            The time.
+            Current time in seconds, by the event loop's clock.
         """
         feed = self._feeds.find_open(record.key)
         if feed is None and len(self._feeds) >= self._limits.capacity:
             self.counters.refused += 1
-            come_back = self._feeds.come_back()
+            come_back = self._feeds.retry_max_age()
             return _refuse(record, request, balancer, come_back)
         effects = _acknowledge(record.key, request, balancer)
         if feed is None:
@@ -74,8 +80,8 @@
             self._feeds.add(record, now)
             return effects
         if record.generation >= feed.record.generation:
-            self._feeds.adopt(feed, record)
-        return effects + self._notifications.send_again(feed, now)
+            self._feeds.apply_record(feed, record)
+        return effects + self._notifications.send_current(feed, now)
 
     def take_over(
         self, record: FlowRecord, observe: int, now: float
@@ -87,13 +93,13 @@
         record : FlowRecord
             The home's new record, whose registration is sent to this server.
         observe : int
-            Last number that the former carrier sent.
+            Last sequence number that the former carrier sent.
         now : float
-            The time.
+            Current time in seconds, by the event loop's clock.
         """
         feed = self._feeds.find_open(record.key)
         if not record.registration:
-            # A placement is no feed: there is nothing to register.
+            # A placement has no registration to send to the server.
             self.counters.refused += 1
             return []
         if feed is None:
@@ -101,15 +107,15 @@
             feed.established = True
             self.counters.taken += 1
         elif record.generation > feed.record.generation:
-            self._feeds.adopt(feed, record)
+            self._feeds.apply_record(feed, record)
         if not is_newer(feed.observe, observe) and not feed.delivery.counter:
-            # A caller would drop these numbers as old, and the feed would
-            # look silent; a higher generation mends it.
+            # The caller would drop the next numbers as old, and the feed would
+            # seem silent; a higher generation makes them newer.
             return [GenerationWanted(feed.record)]
         return self._notifications.send_held(feed, now)
 
     def handle_moved(self, message: FeedMoved) -> list[FeedEffect]:
-        """Let go of a feed that its home has placed elsewhere."""
+        """Release a feed that its home has placed at another carrier."""
         feed = self._feeds.find(message.key)
         if feed is None or message.generation <= feed.record.generation:
             return []
@@ -117,7 +123,7 @@
         return self._feeds.remove(feed)
 
     def deregister(self, key: FlowKey) -> list[FeedEffect]:
-        """End a feed because its caller asks for it (Observe 1)."""
+        """End a feed at its caller's request (Observe 1)."""
         feed = self._feeds.find_open(key)
         if feed is None:
             return []
@@ -126,7 +132,10 @@
     def handle_reply(
         self, caller: str, service: str, message: Message, now: float
     ) -> list[FeedEffect]:
-        """Take the ACK or RST of a caller; one of another carrier is none."""
+        """Handle a caller's ACK or RST.
+
+        One that answers a notification of another carrier is ignored.
+        """
         key = self._notifications.find((caller, service), message.mid)
         feed = None if key is None else self._feeds.find(key)
         if feed is None:
@@ -134,7 +143,7 @@
         if message.mtype is coap.ACK:
             if feed.closing:
                 return self._feeds.close(feed, ResultCode.OK)
-            return self._notifications.acknowledged(feed, now)
+            return self._notifications.handle_ack(feed, now)
         if message.mtype is not coap.RST:
             return []
         self.counters.rejected += 1
@@ -144,10 +153,11 @@
         self, source: RegistrationId, notification: Message, now: float
     ) -> list[FeedEffect]:
         """Pass a notification of the server on to the caller."""
-        feed = self._feeds.find_source(source)
+        feed = self._feeds.find_registered(source)
         if feed is None:
-            # A former registration of a feed that has moved, or has moved
-            # away and back; its state may be older than what was sent since.
+            # It belongs to an earlier registration of a feed that has moved
+            # away, and maybe back; its state may be older than the last one
+            # that was sent.
             self.counters.late += 1
             return [CloseFeed(source)]
         feed.failures = 0
@@ -157,29 +167,40 @@
     def handle_ended(
         self,
         source: RegistrationId,
-        why: ResultCode,
+        reason: ResultCode,
         response: Message | None,
         now: float,
     ) -> list[FeedEffect]:
-        """Take the end of a feed at the server.
+        """Handle that the server has ended a feed.
+
+        Parameters
+        ----------
+        source : RegistrationId
+            The registration that has ended.
+        reason : ResultCode
+            Reason, if there is no response.
+        response : Message or None
+            Response by which the server ended it.
+        now : float
+            Current time in seconds, by the event loop's clock.
 
         Notes
         -----
-        An established feed outlives its server's restart and its refusals: it
-        is registered again.  A feed that never got a state is answered at
-        once, so that its caller can try elsewhere.
+        An established feed survives restarts and refusals of its server: it is
+        registered again.  A feed without any notification so far is answered
+        at once, so that its caller can try again.
         """
-        feed = self._feeds.find_source(source)
+        feed = self._feeds.find_registered(source)
         if feed is None:
             return []
         match response:
             case None if feed.established:
-                self._registrations.wait_again(feed, now)
+                self._registrations.retry_later(feed, now)
             case Message(code=coap.SERVICE_UNAVAILABLE) if feed.established:
                 max_age = response.opt.max_age or 0
-                self._registrations.wait_again(feed, now, max_age)
+                self._registrations.retry_later(feed, now, max_age)
             case _:
-                final = response or self._feeds.final_answer(why)
+                final = response or self._feeds.final_answer(reason)
                 return self._feeds.finish(feed, final, now)
         return []
 
@@ -189,64 +210,75 @@
         Parameters
         ----------
         now : float
-            The time.
+            Current time in seconds, by the event loop's clock.
         room : int
-            How many the server can bear.  A server in cold start would fall
-            over if all its feeds came back at once.
+            Maximum count of registrations.  A server in cold start would be
+            overloaded if all its feeds were registered at once.
         """
-        return self._registrations.take_due(now, room)
+        return self._registrations.pop_due(now, room)
 
     def unregistered_count(self) -> int:
-        """Return how many feeds are not registered at the server."""
+        """Return the number of feeds that are not registered at the server."""
         return len(self._registrations)
 
     def claim_stuck_feeds(
         self, now: float, longer_than: float
     ) -> list[FlowKey]:
-        """Return the feeds not registered at the server for some time.
+        """Return the feeds that have no registration for too long.
+
+        Parameters
+        ----------
+        now : float
+            Current time in seconds, by the event loop's clock.
+        longer_than : float
+            Minimum time without a registration, in seconds.
 
         Notes
         -----
-        The agent asks their homes to place them elsewhere.  Each is returned
-        once in ``ASK_INTERVAL`` at most: a server with thousands of feeds that
-        dies would otherwise have as many questions sent at every tick.
+        The agent asks their homes to place them at another carrier.  Each feed
+        is returned at most once in ``ASK_INTERVAL``: if a server with
+        thousands of feeds dies, thousands of requests would otherwise be sent
+        at every tick.
         """
         stuck = [
             feed
             for feed in self._registrations.waiting()
-            if now - feed.waiting_since > longer_than
-            and (feed.asked_at is None or now - feed.asked_at >= ASK_INTERVAL)
+            if now - feed.unregistered_at > longer_than
+            and (
+                feed.relocation_requested_at is None
+                or now - feed.relocation_requested_at >= ASK_INTERVAL
+            )
         ]
         for asked in stuck:
-            asked.asked_at = now
+            asked.relocation_requested_at = now
         return [feed.key for feed in stuck]
 
     def give_up(
-        self, key: FlowKey, why: ResultCode, now: float
+        self, key: FlowKey, reason: ResultCode, now: float
     ) -> list[FeedEffect]:
-        """End a feed at once with 5.03 and when to come back.
+        """End a feed at once with 5.03 and a Max-Age for the next attempt.
 
         Notes
         -----
-        Used when a zone is taken out.  No packet may come to this agent soon,
-        an ACK neither, so the answer is sent once through each of two
-        balancers under one message id and not repeated later.
+        It is called when a zone is taken out.  Soon no packets may arrive at
+        this agent, not even ACKs.  The answer is therefore sent once through
+        each of two balancers under one message id, without retransmission.
         """
         feed = self._feeds.find_open(key)
         if feed is None:
             return []
         self.counters.given_up += 1
         effects = self._notifications.send_copies(
-            feed, self._feeds.final_answer(why), FINAL_COPIES, now
+            feed, self._feeds.final_answer(reason), FINAL_COPIES, now
         )
-        return effects + self._feeds.close(feed, why)
+        return effects + self._feeds.close(feed, reason)
 
     def poll(self, now: float) -> list[FeedEffect]:
-        """Repeat notifications that wait for their ACK."""
+        """Retransmit the notifications whose ACK is overdue."""
         effects: list[FeedEffect] = []
         for key in self._notifications.timers.pop_due(now):
             effects.extend(self._feeds.repeat(key, now))
-        self._ids.forget_idle(now)
+        self._ids.evict_expired(now)
         return effects
 
 
--- a/redwingstream/flows/notifications.py
+++ b/redwingstream/flows/notifications.py
@@ -1,8 +1,8 @@
-"""Notifications on their way to callers, until they are acknowledged."""
+"""Delivery of notifications to callers, until they are acknowledged."""
 
 from aiocoap.message import Message
 
-from redwingstream.flows.caller_ids import CallerIds, Ends
+from redwingstream.flows.caller_message_ids import CallerMessageIds, Ends
 from redwingstream.flows.effects import (
     FeedEffect,
     GenerationWanted,
@@ -10,38 +10,38 @@
 )
 from redwingstream.flows.feed_state import Feed, FeedCounters, FeedLimits
 from redwingstream.flows.observe import COUNTER_LIMIT, sequence_number
-from redwingstream.flows.paths import ReturnPaths
+from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.records import FlowKey
 from redwingstream.flows.timers import Timers
 from redwingstream.wire import coap
 
-# Seconds after which a notification is tried again that found no message id or
-# no number left.
-_HOLD = 1.0
-# Notifications under one generation from which on its home is asked for the
-# next one, and after how many more it is asked again.
-_WARN_AT = COUNTER_LIMIT - 1024
-_WARN_EACH = 64
+# Seconds until the next attempt to send a notification for which no message id
+# or sequence number was left.
+_RETRY_SECONDS = 1.0
+# Count of notifications under one generation at which the home is first asked
+# for the next generation, and count of notifications between two requests.
+_REQUEST_AT = COUNTER_LIMIT - 1024
+_REQUEST_INTERVAL = 64
 
 
 class Notifications:
-    """Sends notifications and repeats the newest until its ACK arrives.
+    """Sends notifications and retransmits the newest until its ACK arrives.
 
     Parameters
     ----------
-    ids : CallerIds
-        Message ids towards callers.
+    ids : CallerMessageIds
+        Message ids of packets to callers.
     paths : ReturnPaths
-        The balancers known.
+        The known balancers.
     limits : FeedLimits
-        Bounds and times.
+        Limits and timeouts.
     counters : FeedCounters
-        Shared with the carrier.
+        Counters, shared with the carrier.
     """
 
     def __init__(
         self,
-        ids: CallerIds,
+        ids: CallerMessageIds,
         paths: ReturnPaths,
         limits: FeedLimits,
         counters: FeedCounters,
@@ -56,13 +56,13 @@
     def send(
         self, feed: Feed, message: Message, now: float
     ) -> list[FeedEffect]:
-        """Send a new state, or hold it while an older one waits for its ACK.
+        """Send a notification, or hold it while an older one awaits its ACK.
 
         Notes
         -----
-        One notification of a feed is on its way at a time (RFC 7641, section
-        4.5.1); a newer state takes the place of one that is held, and of one
-        that would have to be repeated (4.5.2).
+        At most one notification of a feed is unacknowledged at a time (RFC
+        7641, section 4.5.1).  A newer one replaces one that is held, and one
+        that would have to be retransmitted (4.5.2).
         """
         delivery = feed.delivery
         if delivery.message_id is not None:
@@ -72,55 +72,56 @@
             return []
         return self._send_first(feed, message, now)
 
-    def send_again(self, feed: Feed, now: float) -> list[FeedEffect]:
-        """Send the present state to a caller that has registered again."""
+    def send_current(self, feed: Feed, now: float) -> list[FeedEffect]:
+        """Send the last notification to a caller that registers again."""
         delivery = feed.delivery
         if delivery.message_id is not None or not delivery.packet:
             return []
         return self._send_first(feed, coap.decode(delivery.packet), now)
 
     def send_held(self, feed: Feed, now: float) -> list[FeedEffect]:
-        """Send what was held, if nothing waits for its ACK."""
+        """Send the held notification, if no other one waits for its ACK."""
         delivery = feed.delivery
         if delivery.message_id is not None or not delivery.held:
             return []
         return self._send_first(feed, coap.decode(delivery.held), now)
 
     def find(self, ends: Ends, message_id: int) -> FlowKey | None:
-        """Return whose notification a message id belongs to."""
+        """Return the feed whose notification has this message id."""
         return self._key_by_message_id.get((*ends, message_id))
 
-    def acknowledged(self, feed: Feed, now: float) -> list[FeedEffect]:
-        """Take the caller's ACK; send what was held in the meantime."""
+    def handle_ack(self, feed: Feed, now: float) -> list[FeedEffect]:
+        """Handle the caller's ACK; send the notification held meanwhile."""
         delivery = feed.delivery
         if delivery.tried:
-            self._paths.answered(delivery.tried[-1])
-        self.forget(feed)
+            self._paths.record_ack(delivery.tried[-1])
+        self.cancel(feed)
         return self.send_held(feed, now)
 
-    def forget(self, feed: Feed) -> None:
-        """Wait no more for an ACK."""
+    def cancel(self, feed: Feed) -> None:
+        """Stop waiting for an ACK."""
         self._forget_id(feed)
         feed.delivery.tried.clear()
         self.timers.cancel(feed.key)
 
     def is_exhausted(self, feed: Feed) -> bool:
-        """Whether no ACK came for the last repeat."""
+        """Whether all retransmissions have been sent without an ACK."""
         return len(feed.delivery.tried) > self._limits.max_repeats
 
     def repeat(self, feed: Feed, now: float) -> list[FeedEffect]:
-        """Send the newest state through another balancer.
+        """Retransmit the newest notification through another balancer.
 
         Notes
         -----
-        The balancer that had the last copy may be dead, or its link silent.
+        The balancer of the last copy may have failed, or packets to it may be
+        lost.
         """
         delivery = feed.delivery
         if delivery.message_id is None:
             return self.send_held(feed, now)
         self.counters.repeats += 1
         if delivery.tried:
-            self._paths.unanswered(delivery.tried[-1])
+            self._paths.record_loss(delivery.tried[-1])
         if delivery.held:
             self.counters.superseded += 1
             self._forget_id(feed)
@@ -130,8 +131,8 @@
     def send_copies(
         self, feed: Feed, message: Message, copies: int, now: float
     ) -> list[FeedEffect]:
-        """Send a packet that waits for no ACK, through several balancers."""
-        message_id = self._take_id(feed, now)
+        """Send a non-confirmable packet through several balancers."""
+        message_id = self._allocate_id(feed, now)
         if message_id is None:
             return []
         message.mtype = coap.NON
@@ -151,17 +152,20 @@
         delivery = feed.delivery
         message_id = None
         if feed.closing or delivery.counter < COUNTER_LIMIT:
-            message_id = self._take_id(feed, now)
+            message_id = self._allocate_id(feed, now)
         if message_id is None:
-            # Numbers or ids are used up; the newest state waits for more.
+            # Sequence numbers or message ids are used up; the newest
+            # notification is held until more are available.
             delivery.held = coap.encode(message)
-            self.timers.start(feed.key, now + _HOLD)
-            return self._warn(feed)
-        self._number(feed, message, message_id)
+            self.timers.start(feed.key, now + _RETRY_SECONDS)
+            return self._request_generation(feed)
+        self._assign_numbers(feed, message, message_id)
         self.counters.notified += 1
-        return self._transmit(feed, now) + self._warn(feed)
+        return self._transmit(feed, now) + self._request_generation(feed)
 
-    def _number(self, feed: Feed, message: Message, message_id: int) -> None:
+    def _assign_numbers(
+        self, feed: Feed, message: Message, message_id: int
+    ) -> None:
         delivery = feed.delivery
         message.token = feed.key.token
         message.mtype = coap.CON
@@ -175,8 +179,8 @@
         delivery.message_id = message_id
         delivery.packet = coap.encode(message)
         delivery.held = b''
-        name = (feed.key.caller, feed.key.service, message_id)
-        self._key_by_message_id[name] = feed.key
+        message_key = (feed.key.caller, feed.key.service, message_id)
+        self._key_by_message_id[message_key] = feed.key
 
     def _transmit(self, feed: Feed, now: float) -> list[FeedEffect]:
         delivery = feed.delivery
@@ -186,25 +190,26 @@
         wait = min(doubled, limits.max_ack_timeout)
         self.timers.start(feed.key, now + wait)
         if balancer is None:
-            # No way to any caller says nothing about this one: not counted.
+            # Without a balancer no caller can be reached, so this does not
+            # count as a retransmission that the caller left unanswered.
             return []
         delivery.tried.append(balancer)
         return [_to_caller(feed, balancer, delivery.packet)]
 
-    def _take_id(self, feed: Feed, now: float) -> int | None:
-        return self._ids.take((feed.key.caller, feed.key.service), now)
+    def _allocate_id(self, feed: Feed, now: float) -> int | None:
+        return self._ids.allocate((feed.key.caller, feed.key.service), now)
 
     def _forget_id(self, feed: Feed) -> None:
         message_id = feed.delivery.message_id
         if message_id is None:
             return
-        name = (feed.key.caller, feed.key.service, message_id)
-        self._key_by_message_id.pop(name, None)
+        message_key = (feed.key.caller, feed.key.service, message_id)
+        self._key_by_message_id.pop(message_key, None)
         feed.delivery.message_id = None
 
-    def _warn(self, feed: Feed) -> list[FeedEffect]:
+    def _request_generation(self, feed: Feed) -> list[FeedEffect]:
         counter = feed.delivery.counter
-        if counter < _WARN_AT or counter % _WARN_EACH:
+        if counter < _REQUEST_AT or counter % _REQUEST_INTERVAL:
             return []
         return [GenerationWanted(feed.record)]
 
--- a/redwingstream/flows/records.py
+++ b/redwingstream/flows/records.py
@@ -1,19 +1,23 @@
-"""What a home and its heir remember of an established flow."""
+"""What the home of a flow and its heir store about it.
+
+The home of a flow is the agent that owns its bucket; the heir is the home's
+replica.
+"""
 
 import attrs
 
 
 @attrs.frozen
 class FlowKey:
-    """Names a flow, or one feed of it.
+    """Identifies a flow, or one feed of it.
 
     Parameters
     ----------
     caller, service : str
-        ``IP:PORT`` of both ends.
+        ``IP:PORT`` of both endpoints.
     token : bytes
-        Token of the feed; empty for the flow as a whole, which is how the
-        placement of plain requests on another host is remembered.
+        CoAP token of the feed.  Empty for the flow as a whole: the key of a
+        placement, which says that another host serves the plain requests.
     """
 
     caller: str
@@ -28,14 +32,15 @@
     Parameters
     ----------
     key : FlowKey
-        Which flow or feed.
+        Key of the flow or feed.
     carrier : str
-        Host whose agent and server carry it.
+        Host whose server serves it.
     generation : int
-        How often it has moved; a higher one replaces a lower one.
+        How often it has moved; a record with a higher generation replaces one
+        with a lower generation.
     registration : bytes
-        The caller's CoAP packet that opened the feed, so that another server
-        can go on with it; empty for a plain placement.
+        The caller's CoAP packet that opened the feed.  It is stored so that
+        another server can continue the feed; empty for a plain placement.
     closed : bool
         True once the flow has ended; the record is then removed.
     """
@@ -47,5 +52,5 @@
     closed: bool = False
 
     def as_closed(self) -> 'FlowRecord':
-        """Return the record by which the flow ends."""
+        """Return this record, marked as closed."""
         return attrs.evolve(self, closed=True)
--- a/redwingstream/flows/registrations.py
+++ b/redwingstream/flows/registrations.py
@@ -1,4 +1,4 @@
-"""When the feeds of a carrier may be registered at its server."""
+"""Schedules when a carrier registers its feeds at its server."""
 
 import itertools
 import random
@@ -12,20 +12,20 @@
 
 
 class Registrations:
-    """Feeds that wait for their registration, those due first in front.
+    """Feeds that wait for their registration, ordered by due time.
 
     Parameters
     ----------
     rng : random.Random
-        Spreads the tries.
+        Random generator for the spread of retries.
     limits : FeedLimits
-        Bounds and times.
+        Limits and timeouts.
 
     Notes
     -----
-    After a server's restart all its feeds wait at once.  Registering them
-    together would make a cold server fall over, so the agent takes as many as
-    admission has room for.
+    After a restart of a server all its feeds wait at the same time.
+    Registering them together would overload a cold server, so the agent
+    registers only as many as admission allows.
     """
 
     def __init__(self, rng: random.Random, limits: FeedLimits) -> None:
@@ -36,42 +36,42 @@
         self._attempts = itertools.count(1)
 
     def __len__(self) -> int:
-        """Return how many feeds wait."""
+        """Return the number of waiting feeds."""
         return len(self._feed_by_key)
 
-    def wait(self, feed: Feed, now: float) -> None:
-        """Let a new feed wait for room."""
-        feed.waiting_since = now
+    def add(self, feed: Feed, now: float) -> None:
+        """Add a new feed, which is due at once."""
+        feed.unregistered_at = now
         self._feed_by_key[feed.key] = feed
         self._timers.start(feed.key, now)
 
-    def wait_again(self, feed: Feed, now: float, at_least: float = 0) -> None:
-        """Let a feed wait; the longer, the more often it has failed.
+    def retry_later(self, feed: Feed, now: float, at_least: float = 0) -> None:
+        """Schedule another registration, with exponential backoff.
 
         Parameters
         ----------
         feed : Feed
-            Registered once, or tried to.
+            Feed whose registration has ended or failed.
         now : float
-            The time.
+            Current time in seconds, by the event loop's clock.
         at_least : float
-            Seconds for which the server does not want to be asked.
+            Minimum delay in seconds, as requested by the server.
         """
         if not feed.failures:
-            feed.waiting_since = now
+            feed.unregistered_at = now
         feed.source = None
         feed.failures += 1
         self._feed_by_key[feed.key] = feed
         delay = max(at_least, self._backoff(feed))
         self._timers.start(feed.key, now + delay)
 
-    def forget(self, feed: Feed) -> None:
-        """Register a feed no more."""
+    def remove(self, feed: Feed) -> None:
+        """Remove a feed, which is then not registered."""
         self._feed_by_key.pop(feed.key, None)
         self._timers.cancel(feed.key)
 
-    def take_due(self, now: float, room: int) -> list[OpenFeed]:
-        """Take out the feeds to register now, as many as there is room."""
+    def pop_due(self, now: float, room: int) -> list[OpenFeed]:
+        """Remove and return the registrations that are due, up to ``room``."""
         due = itertools.islice(self._timers.pop_due(now), max(0, room))
         return [self._open(self._feed_by_key.pop(key)) for key in due]
 
@@ -80,7 +80,7 @@
         return self._feed_by_key.values()
 
     def _backoff(self, feed: Feed) -> float:
-        delay = self._limits.first_backoff * 2 ** (feed.failures - 1)
+        delay = self._limits.initial_backoff * 2 ** (feed.failures - 1)
         spread = self._rng.random() + 1 / 2
         return min(delay, self._limits.max_backoff) * spread
 
--- a/redwingstream/flows/sending.py
+++ b/redwingstream/flows/request_sender.py
@@ -1,4 +1,4 @@
-"""The sending half of an agent's exchanges with its server."""
+"""Sends requests to an agent's server, and handles their timers."""
 
 import random
 from collections.abc import Hashable
@@ -19,7 +19,7 @@
     UpstreamCounters,
     UpstreamLimits,
 )
-from redwingstream.flows.links import ServerLinks
+from redwingstream.flows.server_links import ServerLinks
 from redwingstream.flows.timers import Timers
 from redwingstream.requests.records import RequestState
 from redwingstream.wire import coap
@@ -28,7 +28,7 @@
 """Spread of the first timeout (``ACK_RANDOM_FACTOR`` of RFC 7252, less 1)."""
 
 HEAD_SIZE = 4
-"""Bytes of a CoAP message up to and with its message id."""
+"""Size in bytes of the CoAP header, which ends with the message id."""
 
 _MESSAGE_ID_AT = 2
 _TOKEN_SIZE = 8
@@ -36,15 +36,18 @@
 Effects = list[UpstreamEffect]
 
 
-class Sending:
-    """Sends, repeats, refreshes and gives up exchanges.
+class RequestSender:
+    """Sends, retransmits, refreshes and cancels exchanges with the server.
+
+    It holds the exchanges, sockets, timers and counters, which the
+    :class:`~redwingstream.flows.packet_receiver.PacketReceiver` shares.
 
     Parameters
     ----------
     rng : random.Random
-        Gives tokens, first message ids and the spread of repeats.
+        Random generator for tokens, first message ids and timeouts.
     limits : UpstreamLimits
-        Bounds and times.
+        Limits and timeouts.
     """
 
     def __init__(self, rng: random.Random, limits: UpstreamLimits) -> None:
@@ -65,13 +68,13 @@
         *,
         is_feed: bool = False,
     ) -> tuple[int | None, Effects]:
-        """Hand a request over, unless a bound or its deadline forbids it."""
-        why = self._refusal(now, deadline)
-        place = None if why else self.links.choose(now)
-        if place is None:
+        """Send a request, unless a limit or its deadline prevents that."""
+        reason = self._refusal(now, deadline)
+        chosen = None if reason else self.links.choose(now)
+        if chosen is None:
             self.counters.refused += 1
-            return None, [_not_sent(owner, why, is_feed=is_feed)]
-        source, message_id = place
+            return None, [_not_sent(owner, reason, is_feed=is_feed)]
+        source, message_id = chosen
         token = self.rng.randbytes(_TOKEN_SIZE)
         self._serial += 1
         exchange = Exchange(
@@ -89,25 +92,27 @@
         )
         self.exchanges.add(exchange)
         self.counters.requests += 1
-        self.wait(exchange, now)
+        self.schedule_timer(exchange, now)
         return exchange.number, [SendToServer(exchange.packet, source)]
 
-    def wait(self, exchange: Exchange, now: float) -> None:
-        """Set the time of the next repeat, or of the deadline."""
+    def schedule_timer(self, exchange: Exchange, now: float) -> None:
+        """Set the timer of the next retransmission, or of the deadline."""
         due = exchange.deadline
         if not exchange.acknowledged:
             if exchange.copies <= self.limits.max_repeats:
                 due = min(due, now + exchange.timeout)
         self.timers.start(exchange.number, due)
 
-    def due(self, exchange: Exchange, now: float) -> Effects:
-        """Do what the timer of an exchange was set for."""
-        if exchange.settled:
+    def handle_timer(self, exchange: Exchange, now: float) -> Effects:
+        """Handle the timer of an exchange: refresh, retransmit or end it."""
+        if exchange.registered:
             return self.refresh(exchange, now)
         effects: Effects = []
         if not exchange.acknowledged:
             effects.extend(
-                self.links.timed_out(exchange.source, exchange.sent_at, now)
+                self.links.record_timeout(
+                    exchange.source, exchange.sent_at, now
+                )
             )
         if now >= exchange.deadline:
             return effects + self._time_out(exchange, now)
@@ -118,28 +123,28 @@
 
         Notes
         -----
-        The answer shows that the server still has the feed.  A server that
-        has lost it, or a link that has gone silent, would else look the same
-        as a feed on which nothing happens.
+        The answer shows that the server still has the feed.  Otherwise a
+        server that has lost it, or a socket that no longer receives, could not
+        be told from a feed whose resource does not change.
         """
-        message_id = self.links.take_message_id(feed.source, now)
+        message_id = self.links.allocate_message_id(feed.source, now)
         if message_id is None:
             self.timers.start(feed.number, now + self.limits.refresh_after)
             return []
-        self.exchanges.rename(feed, message_id)
+        self.exchanges.set_message_id(feed, message_id)
         request = coap.decode(feed.packet)
         request.mid = message_id
         feed.packet = coap.encode(request)
         feed.refresh_floor = feed.observe
-        feed.settled = False
+        feed.registered = False
         feed.acknowledged = False
         feed.copies = 1
         feed.sent_at = now
         feed.deadline = now + self.limits.refresh_timeout
         feed.timeout = self._first_timeout()
-        self.wait(feed, now)
-        # Behind the others, so that the next check takes another feed.
-        self.exchanges.heard(feed)
+        self.schedule_timer(feed, now)
+        # Moved behind the others, so that the next check takes another feed.
+        self.exchanges.move_to_end(feed)
         return [SendToServer(feed.packet, feed.source)]
 
     def close_feed(self, feed: Exchange, now: float) -> Effects:
@@ -148,20 +153,21 @@
         Notes
         -----
         The deregistration is sent once.  If it is lost, the next notification
-        is rejected for its token, which ends the feed as well.
+        is rejected with an RST for its unknown token, which also ends the
+        feed.
         """
-        message_id = self.links.take_message_id(feed.source, now)
+        message_id = self.links.allocate_message_id(feed.source, now)
         self.finish(feed, now, answered=False)
         if message_id is None:
             return []
-        goodbye = coap.decode(feed.packet)
-        goodbye.mid = message_id
-        goodbye.mtype = coap.NON
-        goodbye.opt.observe = coap.OBSERVE_CANCEL
-        return [SendToServer(coap.encode(goodbye), feed.source)]
-
-    def restarted(self, now: float) -> Effects:
-        """End every feed: the server has started anew and knows none."""
+        deregistration = coap.decode(feed.packet)
+        deregistration.mid = message_id
+        deregistration.mtype = coap.NON
+        deregistration.opt.observe = coap.OBSERVE_CANCEL
+        return [SendToServer(coap.encode(deregistration), feed.source)]
+
+    def handle_restart(self, now: float) -> Effects:
+        """End every feed, because a restarted server has lost them."""
         self.counters.restarts += 1
         effects: Effects = [ServerRestarted()]
         for feed in self.exchanges.feeds():
@@ -169,32 +175,35 @@
         return effects
 
     def give_up(
-        self, exchange: Exchange, now: float, why: ResultCode
+        self, exchange: Exchange, now: float, reason: ResultCode
     ) -> Effects:
-        """Cancel at the server; it may have run.
+        """Cancel a request, which the server may already have run.
 
         Notes
         -----
-        CoAP has no message to cancel an exchange.  An RST with the message id
-        of the request is what comes nearest: its sender wants no more of it.
+        CoAP has no message that cancels an exchange.  An RST with the message
+        id of the request is closest: its sender no longer wants an answer.
         """
         self.finish(exchange, now, answered=False)
         cancellation = coap.encode(coap.empty(coap.RST, exchange.message_id))
         return [
             SendToServer(cancellation, exchange.source),
-            Failed(exchange.owner, RequestState.UNKNOWN, why),
+            Failed(exchange.owner, RequestState.UNKNOWN, reason),
         ]
 
-    def undelivered(self, packet: bytes, source: int, now: float) -> Effects:
-        """End the request that the host could not deliver.
+    def handle_undelivered(
+        self, packet: bytes, source: int, now: float
+    ) -> Effects:
+        """End the request whose packet could not be delivered.
 
         Notes
         -----
-        No process had the packet, so it was not run, if it is the only copy.
-        Idempotent requests are repeated instead: the server may be back soon.
+        No process received the packet, so the request was not run if this was
+        its only copy.  Idempotent requests are retransmitted instead, because
+        the server may be back soon.
         """
         message_id = int.from_bytes(packet[_MESSAGE_ID_AT:HEAD_SIZE], 'big')
-        exchange = self.exchanges.by_message_id(message_id, source)
+        exchange = self.exchanges.find_by_message_id(message_id, source)
         if len(packet) < HEAD_SIZE or exchange is None or exchange.is_feed:
             return []
         was_seen = exchange.acknowledged or exchange.copies > 1
@@ -203,16 +212,18 @@
         if self._may_repeat(exchange):
             return []
         self.finish(exchange, now, answered=False)
-        why = ResultCode.NO_SERVER
-        return [Failed(exchange.owner, RequestState.NOT_RUN, why)]
+        reason = ResultCode.NO_SERVER
+        return [Failed(exchange.owner, RequestState.NOT_RUN, reason)]
 
-    def end_feed(self, feed: Exchange, now: float, why: ResultCode) -> Effects:
-        """Forget a feed that the server does not carry any more."""
+    def end_feed(
+        self, feed: Exchange, now: float, reason: ResultCode
+    ) -> Effects:
+        """Remove a feed that the server no longer serves."""
         self.finish(feed, now, answered=False)
-        return [FeedEnded(feed.owner, why)]
+        return [FeedEnded(feed.owner, reason)]
 
     def finish(self, exchange: Exchange, now: float, *, answered: bool) -> None:
-        """Forget an exchange but for its token."""
+        """Remove an exchange, but remember its token."""
         self.timers.cancel(exchange.number)
         self.exchanges.finish(exchange, now, answered=answered)
 
@@ -230,9 +241,9 @@
     def _repeat(self, exchange: Exchange, now: float) -> Effects:
         exchange.timeout *= 2
         exchange.copies += 1
-        self.wait(exchange, now)
+        self.schedule_timer(exchange, now)
         if not self._may_repeat(exchange):
-            # Only the wait was prolonged: see ``repeat_non_idempotent``.
+            # Only the timer was extended; see ``repeat_non_idempotent``.
             exchange.copies = 1
             return []
         self.counters.repeats += 1
@@ -251,16 +262,16 @@
 def _rewrite(
     request: Message, token: bytes, message_id: int, remaining: float
 ) -> bytes:
-    """Return the request as the server gets it."""
+    """Return the packet for the server, with the remaining time in it."""
     outgoing = request.copy(token=token, mid=message_id, mtype=coap.CON)
     coap.set_deadline(outgoing, remaining)
     return coap.encode(outgoing)
 
 
 def _not_sent(
-    owner: Hashable, why: ResultCode | None, *, is_feed: bool
+    owner: Hashable, reason: ResultCode | None, *, is_feed: bool
 ) -> UpstreamEffect:
-    code = why or ResultCode.OVERLOADED
+    code = reason or ResultCode.OVERLOADED
     if is_feed:
         return FeedEnded(owner, code)
     return Failed(owner, RequestState.NOT_RUN, code)
--- a/redwingstream/flows/paths.py
+++ b/redwingstream/flows/return_paths.py
@@ -1,12 +1,14 @@
-"""Through which balancer a packet goes back to a caller."""
+"""Choice of the balancer through which a packet goes back to a caller."""
 
 from collections.abc import Collection, Sequence
 
 import attrs
 
 MAX_PATHS = 64
+"""Maximum count of balancers that are remembered."""
+
 PATH_LIFETIME = 30.0
-"""Seconds after which a balancer that was not heard from is forgotten."""
+"""Seconds without a packet after which a balancer is forgotten."""
 
 
 @attrs.define
@@ -16,14 +18,15 @@
 
 
 class ReturnPaths:
-    """The balancers that an agent has heard from lately.
+    """The balancers from which an agent has recently received packets.
 
     Parameters
     ----------
     capacity : int
-        How many are kept; the one not heard from for longest goes first.
+        Maximum count of balancers; the one not heard from for the longest
+        time is evicted first.
     lifetime : float
-        Seconds without a sign of life after which one is forgotten, unless
+        Seconds without a packet after which a balancer is forgotten, unless
         it is the last.
     """
 
@@ -36,46 +39,46 @@
         self._path_by_balancer: dict[str, _Path] = {}
 
     def __len__(self) -> int:
-        """Return how many balancers are known."""
+        """Return the number of known balancers."""
         return len(self._path_by_balancer)
 
     def record_heard(self, balancer: str, now: float) -> None:
-        """Note a packet from a balancer (``IP:PORT``)."""
+        """Record a packet from a balancer (``IP:PORT``)."""
         path = self._path_by_balancer.pop(balancer, None) or _Path(now)
         path.last_heard = now
         self._path_by_balancer[balancer] = path
         oldest = next(iter(self._path_by_balancer))
         if len(self._path_by_balancer) > self._capacity:
             self._path_by_balancer.pop(oldest)
-        elif self._is_old(oldest, now):
+        elif self._is_expired(oldest, now):
             self._path_by_balancer.pop(oldest)
 
     def set_members(self, balancers: Collection[str], now: float) -> None:
-        """Take the balancers that are members: forget others, add new ones.
+        """Apply the current members: forget other balancers, add new ones.
 
         Notes
         -----
-        When all balancers are replaced while a caller has nothing to send,
-        none of the new ones has been heard from; without this its feed would
-        have no way back.
+        If all balancers are replaced while a caller sends nothing, no packet
+        has arrived through any of the new ones.  Without this method its feed
+        would have no path back.
         """
-        for former in tuple(self._path_by_balancer):
-            if former not in balancers:
-                self._path_by_balancer.pop(former)
+        for known in tuple(self._path_by_balancer):
+            if known not in balancers:
+                self._path_by_balancer.pop(known)
         heard = self._path_by_balancer
         room = self._capacity - len(heard)
-        fresh = [name for name in balancers if name not in heard][:room]
-        # First in order: the least recently heard.
-        self._path_by_balancer = {name: _Path(now) for name in fresh} | heard
+        added = [name for name in balancers if name not in heard][:room]
+        # New members count as the least recently heard.
+        self._path_by_balancer = {name: _Path(now) for name in added} | heard
 
-    def unanswered(self, balancer: str) -> None:
-        """Note that what was sent through a balancer was not acknowledged."""
+    def record_loss(self, balancer: str) -> None:
+        """Record that a packet sent through a balancer got no ACK."""
         path = self._path_by_balancer.get(balancer)
         if path is not None:
             path.unanswered += 1
 
-    def answered(self, balancer: str) -> None:
-        """Note that what was last sent through a balancer got its ACK."""
+    def record_ack(self, balancer: str) -> None:
+        """Record that the last packet sent through a balancer got its ACK."""
         path = self._path_by_balancer.get(balancer)
         if path is not None:
             path.unanswered = 0
@@ -86,19 +89,21 @@
         Parameters
         ----------
         tried : sequence of str
-            Those through which this packet has gone already.
+            Balancers through which this packet was already sent.
 
         Returns
         -------
         str or None
-            The one tried least; of those the one with the fewest losses; of
-            those the one heard last.  None when no balancer is known.
+            The balancer least often tried; among equals the one with the
+            fewest losses; among those the most recently heard.  None when no
+            balancer is known.
 
         Notes
         -----
-        A link can be silent in one direction: the balancer is heard, and what
-        is sent to it is lost.  Ordered by last-heard time alone, it would cost
-        every notification a repeat; counting losses avoids it after the first.
+        A link can fail in one direction: packets from the balancer arrive,
+        packets to it are lost.  By last-heard time alone, such a balancer
+        would cost every notification a retransmission; counting losses avoids
+        it after the first.
         """
         found = None
         lowest: tuple[int, int] | None = None
@@ -108,6 +113,6 @@
                 found, lowest = balancer, cost
         return found
 
-    def _is_old(self, balancer: str, now: float) -> bool:
+    def _is_expired(self, balancer: str, now: float) -> bool:
         last_heard = self._path_by_balancer[balancer].last_heard
         return now - last_heard > self._lifetime
--- a/redwingstream/flows/table.py
+++ b/redwingstream/flows/table.py
@@ -9,12 +9,28 @@
 from redwingstream.flows.tombstones import Tombstones
 
 MAX_REGISTRATION = 1152
-"""Bytes of a feed's registration; what fits a datagram (RFC 7252, 4.6)."""
+"""Maximum size of a feed's registration in bytes.
+
+RFC 7252, section 4.6, gives it as the upper bound of a message that should
+fit a datagram.
+"""
 
 
 @attrs.define
 class FlowCounters:
-    """What became of the records put into a table."""
+    """Counts of the records that were refused by a table or left it.
+
+    Parameters
+    ----------
+    stale : int
+        Records refused because a newer one was known.
+    refused : int
+        Records refused for lack of room or for their size.
+    expired : int
+        Plain placements dropped after their idle timeout.
+    evicted : int
+        Plain placements dropped to make room.
+    """
 
     stale: int = 0
     refused: int = 0
@@ -30,20 +46,20 @@
 
 
 class FlowTable:
-    """Flow records by bucket, by key and by the two ends of a flow.
+    """Flow records by bucket, by key and by the endpoints of a flow.
 
     Parameters
     ----------
     capacity : int
-        Records that are kept at most, and tombstones besides.
+        Maximum count of open records, and also of tombstones.
     idle_timeout : float
-        Seconds after which a plain placement that is not used is forgotten.
-        Feeds never expire here: their carriers close them.
+        Seconds without use after which a plain placement is dropped.  Feeds do
+        not expire here: their carriers close them.
 
     Notes
     -----
-    Records merge in any order to the same result: the higher generation wins,
-    then a closed one, then the carrier with the greater name.
+    Merging records gives the same result in any order.  The higher generation
+    wins, then a closed record, then the carrier with the greater name.
     """
 
     def __init__(self, capacity: int, idle_timeout: float) -> None:
@@ -58,16 +74,16 @@
         self.counters = FlowCounters()
 
     def __len__(self) -> int:
-        """Return how many flows are open."""
+        """Return the number of open flows."""
         return len(self._entry_by_key)
 
     def put(self, bucket: int, record: FlowRecord, now: float) -> bool:
-        """Remember a record.
+        """Store an open or closed record unless a newer one is known.
 
         Returns
         -------
         bool
-            False when a newer one is known, or when :meth:`takes` says so.
+            False if a newer record is known, or :meth:`accepts` returns False.
         """
         known = self.find(record.key) or self._tombstones.find(record.key)
         if not _replaces(record, known):
@@ -77,7 +93,7 @@
             self._forget(record.key)
             self._tombstones.add(bucket, record, now)
             return True
-        if not self.takes(record):
+        if not self.accepts(record):
             self.counters.refused += 1
             return False
         self._forget(record.key)
@@ -85,13 +101,13 @@
         self._remember(_Entry(record, bucket, now))
         return True
 
-    def takes(self, record: FlowRecord) -> bool:
-        """Whether there is room for a record.
+    def accepts(self, record: FlowRecord) -> bool:
+        """Whether the table has room for a record, and its size is allowed.
 
         Notes
         -----
-        Feeds leave no room for others, placements do.  A feed that is not
-        recorded must not be opened: after the next change of view nobody
+        Placements are evicted to make room, feeds are not.  A feed without a
+        record must not be opened: after the next change of view no agent
         would know it.
         """
         if len(record.registration) > MAX_REGISTRATION:
@@ -103,7 +119,7 @@
     def record_for(
         self, caller: str, service: str, token: bytes, now: float
     ) -> FlowRecord | None:
-        """Return the record of the feed, else of the flow, if there is one."""
+        """Return the record of the feed, else of the flow, else None."""
         entry = self._entry_by_key.get(FlowKey(caller, service, token))
         if entry is None and token:
             entry = self._entry_by_key.get(FlowKey(caller, service))
@@ -115,9 +131,9 @@
         return entry.record
 
     def feed_carriers(self, caller: str, service: str) -> frozenset[str]:
-        """Return who carries feeds of a flow.
+        """Return the hosts that carry feeds between two endpoints.
 
-        An ACK or RST of the caller names no token; it goes to all of these.
+        A caller's ACK or RST has no token, so it is forwarded to all of them.
         """
         keys = self._feeds_by_ends.get((caller, service), ())
         return frozenset(self._entry_by_key[key].record.carrier for key in keys)
@@ -128,30 +144,30 @@
         return 0 if known is None else known.generation + 1
 
     def find(self, key: FlowKey) -> FlowRecord | None:
-        """Return the open record of exactly this flow or feed."""
+        """Return the open record with exactly this key."""
         entry = self._entry_by_key.get(key)
         return None if entry is None else entry.record
 
     def export(self, bucket: int) -> tuple[FlowRecord, ...]:
-        """Return the records of a bucket, those of ended flows too."""
+        """Return the records of a bucket, including those of ended flows."""
         keys = self._keys_by_bucket.get(bucket, ())
         alive = [self._entry_by_key[key].record for key in keys]
-        return (*alive, *self._tombstones.of_bucket(bucket))
+        return (*alive, *self._tombstones.in_bucket(bucket))
 
     def merge(
         self, bucket: int, records: Iterable[FlowRecord], now: float
     ) -> int:
-        """Put each of the records; return how many changed the table."""
+        """Put all the records; return how many of them were stored."""
         return sum(self.put(bucket, record, now) for record in records)
 
     def drop_bucket(self, bucket: int) -> None:
-        """Forget a bucket that now has another home and heir."""
+        """Drop a bucket that now has another home and heir."""
         for key in tuple(self._keys_by_bucket.get(bucket, ())):
             self._forget(key)
-        self._tombstones.drop(bucket)
+        self._tombstones.drop_bucket(bucket)
 
     def carried_by(self, host: str) -> tuple[FlowRecord, ...]:
-        """Return the open flows that a host carries."""
+        """Return the records of the open flows that a host carries."""
         return tuple(
             entry.record
             for entry in self._entry_by_key.values()
@@ -167,8 +183,8 @@
         )
 
     def evict_expired(self, now: float) -> None:
-        """Forget idle plain placements and old tombstones."""
-        self._tombstones.expire(now)
+        """Drop idle plain placements and expired tombstones."""
+        self._tombstones.evict_expired(now)
         while self._plain_by_key:
             oldest = next(iter(self._plain_by_key))
             idle = now - self._entry_by_key[oldest].last_used
@@ -179,7 +195,8 @@
 
     def _remember(self, entry: _Entry) -> None:
         if self._plain_by_key and len(self._entry_by_key) >= self._capacity:
-            # A forgotten placement costs balance; a forgotten feed breaks.
+            # Without its placement a flow may move to another server, which
+            # only affects the load; without its record a feed breaks.
             self._forget(next(iter(self._plain_by_key)))
             self.counters.evicted += 1
         key = entry.record.key
--- a/redwingstream/flows/tests/fakes.py
+++ b/redwingstream/flows/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A backend server, a caller and an agent, all in one process."""
+"""A fake backend server, caller and agent for tests in one process."""
 
 import random
 
@@ -10,7 +10,7 @@
 from redwingstream.flows.feeds import FeedCarrier
 from redwingstream.flows.message_ids import EXCHANGE_LIFETIME
 from redwingstream.flows.observe import FRESH_AFTER, is_newer
-from redwingstream.flows.paths import ReturnPaths
+from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.records import FlowKey, FlowRecord
 from redwingstream.flows.upstream import Upstream
 from redwingstream.wire import coap
@@ -30,7 +30,7 @@
 ) -> Message:
     """Build a caller's confirmable request."""
     built = Message(code=code, payload=payload)
-    _name(built, message_id, token)
+    _set_header(built, message_id, token)
     built.opt.uri_path = ('growth', 'field-7')
     built.opt.observe = observe
     return built
@@ -39,11 +39,11 @@
 def response(token: bytes, message_id: int, payload: bytes = b'1') -> Message:
     """Build a server's separate confirmable response."""
     built = Message(code=coap.CONTENT, payload=payload)
-    _name(built, message_id, token)
+    _set_header(built, message_id, token)
     return built
 
 
-def _name(message: Message, message_id: int, token: bytes) -> None:
+def _set_header(message: Message, message_id: int, token: bytes) -> None:
     message.mtype = coap.CON
     message.mid = message_id
     message.token = token
@@ -59,7 +59,7 @@
 
 @attrs.define
 class FakeServer:
-    """Answers GET and POST, keeps observers, forgets all on a restart."""
+    """Answers GET and POST, stores observers, and loses all on a restart."""
 
     reading: int = 1
     number: int = 1
@@ -71,7 +71,7 @@
     token_by_id: dict[int, bytes] = attrs.Factory(dict)
 
     def receive(self, packet: bytes, source: int) -> list[bytes]:
-        """Return the packets that answer one."""
+        """Handle a packet; return the packets that answer it."""
         message = coap.decode(packet)
         if message.code is coap.EMPTY:
             return self._empty(message)
@@ -81,7 +81,7 @@
         return [self.answer_by_id[name]]
 
     def publish(self, reading: int) -> list[tuple[bytes, int]]:
-        """Return the notifications of a new reading, with their sources."""
+        """Return the notifications of a new reading, with their sockets."""
         self.reading = reading
         self.number += 1
         notifications = []
@@ -94,7 +94,7 @@
         return notifications
 
     def restart(self) -> None:
-        """Begin anew, knowing the present reading only."""
+        """Lose all state but the current reading."""
         self.source_by_token.clear()
         self.answer_by_id.clear()
         self.number = 0
@@ -123,7 +123,7 @@
 
 @attrs.define
 class FakeCaller:
-    """Takes notifications as RFC 7641 asks, and acknowledges them."""
+    """Handles notifications as RFC 7641 requires, and acknowledges them."""
 
     shown: list[tuple[int, int]] = attrs.Factory(list)
     final: list[Message] = attrs.Factory(list)
@@ -131,7 +131,7 @@
     seen_by_id: dict[int, float] = attrs.Factory(dict)
 
     def receive(self, packet: bytes, now: float) -> bytes | None:
-        """Show a newer state; return the ACK."""
+        """Show a newer reading; return the ACK."""
         message = coap.decode(packet)
         if message.code is coap.EMPTY:
             return None
@@ -139,12 +139,12 @@
         seen = self.seen_by_id.get(message.mid)
         if seen is None or now - seen > EXCHANGE_LIFETIME:
             self.seen_by_id[message.mid] = now
-            self._take(message, now)
+            self._handle_notification(message, now)
         if message.mtype is coap.CON:
             return coap.encode(coap.empty(coap.ACK, message.mid))
         return None
 
-    def _take(self, message: Message, now: float) -> None:
+    def _handle_notification(self, message: Message, now: float) -> None:
         number = message.opt.observe
         if number is None:
             self.final.append(message)
@@ -159,7 +159,7 @@
 
 
 class FakeAgent:
-    """Carries out effects: what it sends stands in lists."""
+    """Carries out effects, and records the packets it sends in lists."""
 
     def __init__(self, host: str, limits: UpstreamLimits) -> None:
         rng = random.Random(host)
@@ -174,12 +174,12 @@
         self.outcomes: list[effects.Responded | effects.Failed] = []
 
     def poll(self, now: float) -> None:
-        """Do what is due."""
+        """Handle what is due."""
         self.carry_out(self.upstream.poll(now), now)
         self.carry_out(self.carrier.poll(now), now)
 
     def carry_out(self, wanted: list, now: float) -> None:
-        """Carry out effects, and register feeds while there is room."""
+        """Carry out effects, and register feeds up to the limit."""
         for effect in wanted:
             self._carry_out_one(effect, now)
         for opened in self.carrier.next_registrations(now, self.room):
@@ -201,9 +201,9 @@
                 self.carry_out(
                     carrier.handle_notification(owner, update, now), now
                 )
-            case effects.FeedEnded(owner, why, final):
+            case effects.FeedEnded(owner, reason, final):
                 self.carry_out(
-                    carrier.handle_ended(owner, why, final, now), now
+                    carrier.handle_ended(owner, reason, final, now), now
                 )
             case effects.FeedClosed() | effects.GenerationWanted():
                 self.to_home.append(effect)
--- a/redwingstream/flows/tests/test_blocks.py
+++ b/redwingstream/flows/tests/test_block_transfers.py
@@ -1,8 +1,8 @@
-"""Answers in several blocks stay with one server."""
+"""Tests that an answer in several blocks stays with one server."""
 
 from aiocoap.message import Message
 
-from redwingstream.flows.blocks import (
+from redwingstream.flows.block_transfers import (
     TRANSFER_TIMEOUT,
     BlockTransfers,
     is_later_block,
@@ -23,19 +23,19 @@
 
 
 def ask(path: str) -> Message:
-    """Build a request for a report."""
+    """Build a request for the resource of a path."""
     asked = request()
     asked.opt.uri_path = (path,)
     return asked
 
 
 class TestTransfers:
-    """What the old home of a bucket hands over."""
+    """Transfers in progress, and what the home of a bucket hands over."""
 
-    def test_transfer_under_way_moves_as_a_placement(self) -> None:
-        """An adviser's report would break off half way.
+    def test_transfer_in_progress_is_handed_over_as_placement(self) -> None:
+        """Guards against a transfer that fails when its bucket moves.
 
-        The first blocks came from the home's own server; then the bucket gets
+        The first blocks came from the home's own server.  Then the bucket gets
         another home, whose server has another representation.
         """
         transfers = BlockTransfers('a', 10)
@@ -53,7 +53,7 @@
         )
         assert len(transfers) == 0
 
-    def test_bounds_what_it_keeps(self) -> None:
+    def test_capacity_and_timeout_are_enforced(self) -> None:
         transfers = BlockTransfers('a', 2)
         for number in range(3):
             asked = ask(str(number))
@@ -65,7 +65,7 @@
         transfers.evict_expired(TRANSFER_TIMEOUT + 1)
         assert len(transfers) == 1
 
-    def test_knows_later_blocks(self) -> None:
+    def test_recognises_later_blocks(self) -> None:
         asked = request()
         assert not is_later_block(asked)
         asked.opt.block2 = (0, False, 6)
--- a/redwingstream/flows/tests/test_feeds.py
+++ b/redwingstream/flows/tests/test_feeds.py
@@ -1,4 +1,4 @@
-"""Feeds between a carrier and its callers, packet by packet."""
+"""Tests of a feed carrier, with the packets of its callers and server."""
 
 import random
 
@@ -8,11 +8,11 @@
 
 from redwingstream.errors import ResultCode
 from redwingstream.flows import effects
-from redwingstream.flows.caller_ids import CallerIds
+from redwingstream.flows.caller_message_ids import CallerMessageIds
 from redwingstream.flows.feed_state import FeedLimits
 from redwingstream.flows.feeds import FeedCarrier
 from redwingstream.flows.observe import COUNTER_LIMIT, is_newer
-from redwingstream.flows.paths import ReturnPaths
+from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.records import FlowKey
 from redwingstream.flows.tests.fakes import (
     CALLER,
@@ -31,7 +31,7 @@
 
 
 def make_carrier(host: str = 'a', limits: FeedLimits = LIMITS) -> FeedCarrier:
-    """Build a carrier that has heard from three balancers."""
+    """Build a carrier that has received packets from three balancers."""
     paths = ReturnPaths()
     for now, balancer in enumerate(BALANCERS):
         paths.record_heard(balancer, now)
@@ -41,7 +41,7 @@
 def make_feed(
     carrier: FeedCarrier, key: FlowKey = KEY, generation: int = 0
 ) -> effects.RegistrationId:
-    """Register a feed and let its server take it."""
+    """Open a feed, and return its registration at the server."""
     asked = request(observe=coap.OBSERVE_REGISTER, token=key.token)
     carrier.register(record('a', generation, key), asked, 'b1', 0)
     return carrier.next_registrations(0, 1)[0].source
@@ -60,7 +60,7 @@
     reading: int,
     now: float = 0,
 ) -> Message:
-    """Pass a notification on; return what the caller gets."""
+    """Handle a server's notification; return the one sent to the caller."""
     found = carrier.handle_notification(source, update(reading), now)
     return coap.decode(found[0].payload)
 
@@ -71,15 +71,15 @@
     mtype: coap.aiocoap.Type = coap.ACK,
     now: float = 0,
 ) -> list:
-    """Let the caller answer a notification."""
+    """Handle a caller's ACK or RST of a notification."""
     empty = coap.empty(mtype, notification.mid)
     return carrier.handle_reply(CALLER, SERVICE, empty, now)
 
 
 class TestNotifications:
-    """The newest state reaches the caller, once and in order."""
+    """Delivery of the newest notification to the caller, in order."""
 
-    def test_carries_the_callers_token_and_own_numbers(self) -> None:
+    def test_has_the_callers_token_and_its_own_numbers(self) -> None:
         carrier = make_carrier()
         source = make_feed(carrier)
         first = notify(carrier, source, 17)
@@ -90,19 +90,19 @@
         assert second.opt.observe == 1
         assert second.mid != first.mid
 
-    def test_repeats_through_another_balancer_until_the_ack(self) -> None:
-        """A planner would miss a reading when a balancer dies.
+    def test_retransmits_through_another_balancer_until_the_ack(self) -> None:
+        """Guards against a notification lost with a failed balancer.
 
-        The notification goes through a balancer that has just died; the same
-        packet must come through the others.
+        The first copy goes through a balancer that has just failed.  The same
+        packet must then go through the others.
         """
         paths = ReturnPaths()
         for balancer in BALANCERS:
             paths.record_heard(balancer, 0)
             for _ in range(9):
-                # Losses of other callers' notifications.
-                paths.unanswered(balancer)
-        paths.answered('b3')
+                # Notifications to other callers were lost.
+                paths.record_loss(balancer)
+        paths.record_ack('b3')
         carrier = FeedCarrier('a', 'sward-live', paths, random.Random(2))
         source = make_feed(carrier)
         sent = carrier.handle_notification(source, update(17), 0)
@@ -113,7 +113,7 @@
         reply(carrier, coap.decode(sent[0].payload))
         assert carrier.next_due() is None
 
-    def test_repeats_the_newest_state_only(self) -> None:
+    def test_retransmits_the_newest_notification_only(self) -> None:
         carrier = make_carrier()
         source = make_feed(carrier)
         first = notify(carrier, source, 1)
@@ -127,7 +127,7 @@
         assert reply(carrier, first) == []
         assert carrier.next_due() is not None
 
-    def test_sends_what_was_held_at_the_ack(self) -> None:
+    def test_sends_the_held_notification_at_the_ack(self) -> None:
         carrier = make_carrier()
         source = make_feed(carrier)
         first = notify(carrier, source, 1)
@@ -136,15 +136,15 @@
         assert coap.decode(held.payload).payload == b'2'
 
     @pytest.mark.parametrize(
-        ('why', 'repeats'), [(ResultCode.TIMED_OUT, 12), (ResultCode.OK, 0)]
+        ('reason', 'repeats'), [(ResultCode.TIMED_OUT, 12), (ResultCode.OK, 0)]
     )
     def test_ends_a_feed_whose_caller_is_gone(
-        self, why: ResultCode, repeats: int
+        self, reason: ResultCode, repeats: int
     ) -> None:
-        """Servers would feed callers that have gone for ever.
+        """Guards against feeds that outlive their callers.
 
         The caller has been switched off, or has restarted and rejects the
-        notification.  The server and the home are told.
+        notification.  The feed is deregistered and its home is notified.
         """
         carrier = make_carrier()
         source = make_feed(carrier)
@@ -158,12 +158,12 @@
         closed = attrs.evolve(record('a'), closed=True)
         assert found == [
             effects.CloseFeed(source),
-            effects.FeedClosed(closed, why),
+            effects.FeedClosed(closed, reason),
         ]
         assert len(carrier) == 0
         assert carrier.counters.repeats == repeats
 
-    def test_no_way_back_is_not_the_callers_fault(self) -> None:
+    def test_missing_balancer_does_not_end_a_feed(self) -> None:
         paths = ReturnPaths()
         carrier = FeedCarrier('a', 'sward-live', paths, random.Random(1))
         source = make_feed(carrier)
@@ -173,11 +173,11 @@
         paths.record_heard('b1', 100)
         assert carrier.poll(100)
 
-    def test_asks_for_a_generation_before_numbers_run_out(self) -> None:
-        """A lot board would stop after 262144 states.
+    def test_requests_a_generation_before_numbers_run_out(self) -> None:
+        """Guards against a feed that stops after 262144 notifications.
 
-        Its numbers under one generation are used up; the newest state waits
-        for the record of the next one.
+        The sequence numbers of one generation are used up.  The newest
+        notification is held until the record of the next generation arrives.
         """
         carrier = make_carrier()
         source = make_feed(carrier)
@@ -194,7 +194,7 @@
 
 
 class TestRegistration:
-    """Callers that register, again, or no more."""
+    """Callers that register, register again and deregister."""
 
     def test_registering_again_opens_no_second_feed(self) -> None:
         carrier = make_carrier()
@@ -210,7 +210,7 @@
         assert len(carrier) == 1
         assert carrier.next_registrations(1, 10) == []
 
-    def test_refuses_above_its_capacity_at_once(self) -> None:
+    def test_refuses_above_its_capacity(self) -> None:
         carrier = make_carrier(limits=FeedLimits(capacity=1))
         make_feed(carrier)
         other = attrs.evolve(KEY, token=b'other')
@@ -218,7 +218,9 @@
         found = carrier.register(record('a', key=other), asked, 'b2', 1)
         refusal = coap.decode(found[0].payload)
         assert refusal.code is coap.SERVICE_UNAVAILABLE
-        assert LIMITS.come_back <= refusal.opt.max_age <= 2 * LIMITS.come_back
+        assert (
+            LIMITS.min_max_age <= refusal.opt.max_age <= 2 * LIMITS.min_max_age
+        )
         assert found[1].record.closed
 
     def test_caller_deregisters(self) -> None:
@@ -226,7 +228,7 @@
         source = make_feed(carrier)
         found = carrier.deregister(KEY)
         assert found[0] == effects.CloseFeed(source)
-        assert found[1].why is ResultCode.OK
+        assert found[1].reason is ResultCode.OK
         assert carrier.deregister(KEY) == []
 
     def test_first_registration_that_fails_is_answered_at_once(self) -> None:
@@ -240,11 +242,12 @@
         assert reply(carrier, final)[0].record.closed
         assert len(carrier) == 0
 
-    def test_opens_again_while_the_final_answer_waits(self) -> None:
-        """A planner that comes back at once would see nothing for a while.
+    def test_reopens_while_the_final_answer_waits_for_its_ack(self) -> None:
+        """Guards against sequence numbers that restart for the same token.
 
-        The server has ended the feed, the caller's ACK is lost, and it opens
-        the feed again under its token; numbers that begin anew would look old.
+        The server ends the feed, and the caller's ACK is lost.  The caller
+        opens the feed again under its token.  It would drop notifications
+        whose numbers start again from the beginning.
         """
         carrier = make_carrier()
         source = make_feed(carrier)
@@ -260,13 +263,13 @@
 
 
 class TestMoves:
-    """Feeds that another server goes on with."""
+    """Feeds that move from one carrier to another."""
 
-    def test_new_carrier_looks_newer_whatever_the_old_one_sends(self) -> None:
-        """A planner would see an old reading after a newer one.
+    def test_numbers_of_the_new_carrier_are_newer(self) -> None:
+        """Guards against an old notification accepted after a newer one.
 
-        The feed moves; the former carrier has not heard of it and sends on,
-        a few numbers ahead of those that it named in the move.
+        The feed moves.  The former carrier does not know this yet, and sends
+        notifications with higher numbers than the one in its request to move.
         """
         former, latter = make_carrier('a'), make_carrier('b')
         source = make_feed(former)
@@ -286,10 +289,10 @@
         assert len(former) == 0
         assert former.next_due() is None
 
-    def test_late_state_of_an_earlier_stay_goes_nowhere(self) -> None:
-        """A planner would see an old reading as the newest.
+    def test_drops_late_notification_of_an_earlier_registration(self) -> None:
+        """Guards against an old notification sent as the newest.
 
-        A feed moves away and back; then the server's answer to its first
+        A feed moves away and back.  Then the server's answer to the first
         registration arrives, and would get a number of the new generation.
         """
         carrier = make_carrier()
@@ -301,52 +304,53 @@
         assert stale == [effects.CloseFeed(earlier)]
         assert carrier.counters.late == 1
 
-    def test_takes_no_placement_for_a_feed(self) -> None:
+    def test_does_not_take_over_a_placement(self) -> None:
         carrier = make_carrier()
         placement = attrs.evolve(record('a', 1), registration=b'')
         assert not carrier.take_over(placement, 0, 1)
         assert not carrier.next_registrations(1, 1)
         assert carrier.counters.refused == 1
 
-    def test_asks_for_a_generation_that_looks_newer(self) -> None:
+    def test_requests_a_generation_with_newer_numbers(self) -> None:
         carrier = make_carrier()
         found = carrier.take_over(record('a', 1), 3 * COUNTER_LIMIT, 1)
         assert found == [effects.GenerationWanted(record('a', 1))]
 
-    def test_restarted_carrier_uses_other_message_ids(self) -> None:
-        """A caller would drop the first states after an agent's restart.
+    def test_restarted_carrier_uses_different_message_ids(self) -> None:
+        """Guards against notifications dropped after an agent's restart.
 
-        The agent starts again and sends to the same callers within 247 s.
+        The agent restarts and sends to the same callers within 247 s, in which
+        they drop message ids that they have seen.
         """
         ends = (CALLER, SERVICE)
         taken = {
-            CallerIds('carse-1', random.Random(run)).take(ends, 0)
+            CallerMessageIds('carse-1', random.Random(run)).allocate(ends, 0)
             for run in range(3)
         }
         assert len(taken) == 3
 
     def test_message_ids_differ_between_carriers(self) -> None:
-        """A caller would drop a reading as a duplicate.
+        """Guards against notifications that a caller drops as duplicates.
 
         Two carriers send to one caller from one service address, and start at
-        the same place of their ranges.
+        the same offset in their ranges.
         """
         ends = (CALLER, SERVICE)
         taken = {
-            CallerIds(host, random.Random(1)).take(ends, 0)
+            CallerMessageIds(host, random.Random(1)).allocate(ends, 0)
             for host in ('carse-1', 'strathmore-1')
         }
         assert len(taken) == 2
 
 
 class TestServerTrouble:
-    """Servers that restart or refuse, and zones taken out."""
+    """Servers that restart or refuse feeds, and zones taken out."""
 
-    def test_restart_brings_feeds_back_as_there_is_room(self) -> None:
-        """A restarted server would fall over under all its feeds at once.
+    def test_feeds_are_registered_gradually_after_a_restart(self) -> None:
+        """Guards against overload of a restarted server by its feeds.
 
-        Ten established feeds end together; each round registers no more than
-        there is room for, and every feed comes back.
+        Ten established feeds end together.  Each round registers no more feeds
+        than allowed, and in the end every feed is registered.
         """
         carrier = make_carrier()
         for number in range(10):
@@ -362,7 +366,7 @@
         assert [len(opened) for opened in rounds] == [4, 4, 2, 0]
         assert len({one.source for some in rounds for one in some}) == 10
 
-    def test_established_feed_outlives_a_refusal(self) -> None:
+    def test_established_feed_survives_a_refusal(self) -> None:
         carrier = make_carrier()
         source = make_feed(carrier)
         notify(carrier, source, 1)
@@ -372,7 +376,7 @@
         assert carrier.next_registrations(6, 1) == []
         assert carrier.next_registrations(8, 1)[0].source.attempt == 2
 
-    def test_servers_last_word_is_passed_on(self) -> None:
+    def test_final_answer_of_the_server_is_forwarded(self) -> None:
         carrier = make_carrier()
         source = make_feed(carrier)
         reply(carrier, notify(carrier, source, 1))
@@ -383,10 +387,10 @@
         assert (final.token, final.mtype) == (TOKEN, coap.CON)
 
     def test_zone_out_answers_each_caller_at_once(self) -> None:
-        """Shuttle drivers would watch a board that stands still.
+        """Guards against feeds that stop without notice to their callers.
 
-        Their zone is taken out: each gets the final answer through two
-        balancers, and nothing is left to be acknowledged.
+        Their zone is taken out.  Each caller gets the final answer through two
+        balancers, and no packet waits for an ACK.
         """
         carrier = make_carrier()
         source = make_feed(carrier)
@@ -397,7 +401,7 @@
         final = coap.decode(copies[0].payload)
         assert (final.mtype, final.token) == (coap.NON, TOKEN)
         assert final.payload == b'zone_out'
-        assert final.opt.max_age >= LIMITS.come_back
+        assert final.opt.max_age >= LIMITS.min_max_age
         assert found[2] == effects.CloseFeed(source)
         assert found[3].record.closed
         assert carrier.next_due() is None
--- a/redwingstream/flows/tests/test_paths.py
+++ b/redwingstream/flows/tests/test_return_paths.py
@@ -1,10 +1,10 @@
-"""Which balancer a packet for a caller goes through."""
+"""Tests of the choice of a balancer for a packet to a caller."""
 
-from redwingstream.flows.paths import ReturnPaths
+from redwingstream.flows.return_paths import ReturnPaths
 
 
 def make_paths(*balancers: str) -> ReturnPaths:
-    """Build the paths of balancers heard one after the other."""
+    """Build the paths of balancers from which packets arrived in order."""
     paths = ReturnPaths(capacity=3, lifetime=30)
     for now, balancer in enumerate(balancers):
         paths.record_heard(balancer, now)
@@ -12,39 +12,39 @@
 
 
 class TestReturnPaths:
-    """The latest first, another for each repeat."""
+    """Most recently heard first, another balancer for each retransmission."""
 
-    def test_prefers_the_latest_and_repeats_through_others(self) -> None:
+    def test_prefers_most_recent_and_retransmits_through_others(self) -> None:
         paths = make_paths('a', 'b', 'c', 'a')
         tried: list[str] = []
         for _ in range(6):
             tried.append(paths.pick(tried))
         assert tried == ['a', 'c', 'b', 'a', 'c', 'b']
 
-    def test_avoids_a_balancer_that_is_heard_but_not_reached(self) -> None:
-        """Every reading would reach the planner a second late.
+    def test_avoids_a_balancer_whose_packets_are_lost(self) -> None:
+        """Guards against late notifications over a one-way link.
 
-        A link is silent in one direction: the balancer is heard all the time,
-        and each notification sent through it is lost.
+        Packets from the balancer keep arriving, and each notification sent
+        through it is lost.
         """
         paths = make_paths('a', 'b')
-        paths.unanswered('b')
+        paths.record_loss('b')
         paths.record_heard('b', 5)
         assert paths.pick() == 'a'
-        paths.answered('b')
+        paths.record_ack('b')
         assert paths.pick() == 'b'
 
-    def test_keeps_few_and_forgets_old_ones(self) -> None:
+    def test_capacity_and_lifetime_are_enforced(self) -> None:
         assert len(make_paths('a', 'b', 'c', 'd')) == 3
         paths = make_paths('a', 'b')
         paths.record_heard('b', 60)
         assert paths.pick(['b']) == 'b'
 
-    def test_members_replace_all_others(self) -> None:
-        """A quiet caller's feed would have no way back.
+    def test_set_members_replaces_all_others(self) -> None:
+        """Guards against a feed without a path to a caller that is silent.
 
         All balancers are replaced one by one while the caller sends nothing,
-        so none of the new ones has been heard from.
+        so no packet has arrived through any of the new ones.
         """
         paths = make_paths('a', 'b')
         paths.set_members(('b', 'new'), 9)
--- a/redwingstream/flows/tests/test_table.py
+++ b/redwingstream/flows/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Flow records: which one wins, which one goes first."""
+"""Tests of the flow table: precedence of records, and eviction."""
 
 import itertools
 
@@ -22,7 +22,7 @@
 
 
 def make_table(*records: FlowRecord, capacity: int = 100) -> FlowTable:
-    """Build a table that holds some records since time 0."""
+    """Build a table with some records stored at time 0."""
     table = FlowTable(capacity, IDLE)
     table.merge(BUCKET, records, 0)
     return table
@@ -34,9 +34,9 @@
 
 
 class TestFlowTable:
-    """What is found, what is replaced and what is forgotten."""
+    """Lookup, replacement and eviction of records."""
 
-    def test_finds_the_feed_first_and_the_flow_else(self) -> None:
+    def test_finds_the_feed_before_the_flow(self) -> None:
         table = make_table(record('a'), FlowRecord(PLAIN, 'b'))
         assert table.record_for(CALLER, SERVICE, TOKEN, 1).carrier == 'a'
         assert table.record_for(CALLER, SERVICE, b'other', 1).carrier == 'b'
@@ -45,11 +45,11 @@
         assert table.feed_carriers(CALLER, SERVICE) == {'a'}
         assert table.carried_by('b') == (FlowRecord(PLAIN, 'b'),)
 
-    def test_merges_to_the_same_in_any_order(self) -> None:
-        """A feed breaks when home and heir know different carriers.
+    def test_merge_does_not_depend_on_order(self) -> None:
+        """Guards against home and heir that store different carriers.
 
         Records of one feed reach two tables in different orders while its
-        bucket is handed over; both must end with the same one.
+        bucket is handed over.  Both tables must end with the same record.
         """
         records = (
             record('a'),
@@ -63,11 +63,11 @@
         for order in itertools.permutations(records[:3]):
             assert make_table(*order).export(BUCKET) == (records[2],)
 
-    def test_ended_feed_is_not_revived_by_a_late_record(self) -> None:
-        """A planner that closed its feed would be sent readings again.
+    def test_late_record_does_not_reopen_an_ended_feed(self) -> None:
+        """Guards against notifications to a caller that has closed its feed.
 
-        The feed ends, then its former home hands over the bucket with the
-        open record, which is as old as the feed.
+        The feed ends.  Then its former home hands over the bucket with the
+        open record of the feed.
         """
         table = make_table(record('a'), FlowRecord(KEY, 'a', closed=True))
         assert not table.put(BUCKET, record('a'), 1)
@@ -85,19 +85,19 @@
         table.evict_expired(TOMBSTONE_LIFETIME)
         assert not table.export(BUCKET)
 
-    def test_forgets_idle_placements_only(self) -> None:
+    def test_drops_idle_placements_only(self) -> None:
         table = make_table(record('a'), placement(1), placement(2))
         table.record_for(placement(1).key.caller, SERVICE, b'', IDLE / 2)
         table.evict_expired(IDLE)
         assert set(table.export(BUCKET)) == {record('a'), placement(1)}
         assert table.counters.expired == 1
 
-    def test_full_table_gives_up_placements_and_refuses_feeds(self) -> None:
-        """An established feed would break for the sake of a new one.
+    def test_full_table_evicts_placements_and_refuses_feeds(self) -> None:
+        """Guards against the eviction of an established feed by new ones.
 
-        A flood of new callers fills the table: placements make room, the one
-        unused for longest first; a feed that finds none is refused, so it is
-        never opened without a record.
+        A flood of new callers fills the table.  Placements are evicted, least
+        recently used first.  A feed for which there is no room is refused, so
+        it is never opened without a record.
         """
         table = make_table(record('a'), placement(1), placement(2), capacity=3)
         table.record_for(placement(1).key.caller, SERVICE, b'', 1)
@@ -113,32 +113,32 @@
         assert record('a') in table.export(BUCKET)
 
     def test_refuses_a_registration_that_is_too_long(self) -> None:
-        """One caller could fill an agent's memory with a few feeds.
+        """Guards against a caller that fills an agent's memory with few feeds.
 
-        A datagram may have 64 KiB, and home and heir keep the registration of
-        each feed for as long as it is open.
+        A datagram can have 64 KiB, and home and heir store the registration of
+        each feed for as long as the feed is open.
         """
         longest = attrs.evolve(
             record('a'), registration=b'x' * MAX_REGISTRATION
         )
-        assert make_table().takes(longest)
+        assert make_table().accepts(longest)
         too_long = attrs.evolve(longest, registration=b'x' * 1153)
         table = make_table()
-        assert not table.takes(too_long)
+        assert not table.accepts(too_long)
         assert not table.put(BUCKET, too_long, 1)
 
     def test_placement_does_not_replace_a_feed_without_token(self) -> None:
-        """A feed would go silent when its caller asks for something else.
+        """Guards against a feed that stops when its caller sends a request.
 
-        CoAP allows the empty token, and the placement of the caller's plain
-        requests has the same key as such a feed.
+        CoAP allows the empty token.  The placement of the caller's plain
+        requests then has the same key as the feed.
         """
         feed = FlowRecord(PLAIN, 'a', 0, REGISTRATION)
         table = make_table(feed)
         assert not table.put(BUCKET, FlowRecord(PLAIN, 'b', 5), 1)
         assert table.record_for(CALLER, SERVICE, b'', 1) == feed
 
-    def test_drops_a_bucket_whole(self) -> None:
+    def test_drop_bucket_removes_all_its_records(self) -> None:
         table = make_table(record('a'), FlowRecord(PLAIN, 'b', closed=True))
         other = placement(1)
         table.put(BUCKET + 1, other, 0)
--- a/redwingstream/flows/tests/test_upstream.py
+++ b/redwingstream/flows/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""The agent's side towards its server, packet by packet."""
+"""Tests of the agent's exchanges with its server, packet by packet."""
 
 import random
 
@@ -7,7 +7,7 @@
 from redwingstream.errors import ResultCode
 from redwingstream.flows import effects
 from redwingstream.flows.exchanges import UpstreamLimits
-from redwingstream.flows.links import PROBE_TIMEOUT, ServerLinks
+from redwingstream.flows.server_links import PROBE_TIMEOUT, ServerLinks
 from redwingstream.flows.message_ids import EXCHANGE_LIFETIME, MessageIds
 from redwingstream.flows.tests.fakes import FakeServer, request, response
 from redwingstream.flows.upstream import Upstream
@@ -20,19 +20,19 @@
 
 @pytest.fixture
 def upstream() -> Upstream:
-    """Return an upstream with nothing open."""
+    """Return an upstream without open exchanges."""
     return Upstream(random.Random(3), LIMITS)
 
 
 def post(upstream: Upstream, owner: object = 'plate', now: float = 0) -> bytes:
-    """Hand over a non-idempotent request; return its packet."""
+    """Send a non-idempotent request; return its packet."""
     asked = request(coap.POST, payload=b'24 mm')
     _, sent = upstream.send_request(asked, owner, now, now + DEADLINE)
     return sent[0].packet
 
 
 def get(upstream: Upstream, owner: object = 'report') -> effects.SendToServer:
-    """Hand over an idempotent request; return its packet and source."""
+    """Send an idempotent request; return its packet and socket."""
     return upstream.send_request(request(), owner, 0, DEADLINE)[1][0]
 
 
@@ -51,15 +51,17 @@
     return coap.encode(coap.empty(mtype, coap.decode(packet).mid))
 
 
-def of_type(found: list, kind: type) -> list:
-    """Return the effects of one kind."""
+def filter_by_type(found: list, kind: type) -> list:
+    """Return the effects of one type."""
     return [effect for effect in found if isinstance(effect, kind)]
 
 
 class TestRequests:
-    """Requests with one answer."""
+    """Requests, which have one answer."""
 
-    def test_hands_over_the_remaining_time(self, upstream: Upstream) -> None:
+    def test_request_contains_the_remaining_time(
+        self, upstream: Upstream
+    ) -> None:
         asked = request(coap.POST, payload=b'24 mm')
         _, sent = upstream.send_request(asked, 'plate', 2, 5)
         handed = coap.decode(sent[0].packet)
@@ -68,13 +70,13 @@
         assert handed.token != asked.token
         assert coap.deadline_of(asked) is None
 
-    def test_each_answer_goes_to_its_own_request(
+    def test_each_answer_is_matched_with_its_request(
         self, upstream: Upstream
     ) -> None:
-        """An adviser would read another adviser's report.
+        """Guards against a caller that gets the answer of another caller.
 
-        Two requests are with the server; its answers come in the other order,
-        one of them twice, and one with a token that nobody sent.
+        Two requests are at the server.  Its answers arrive in reverse order,
+        one of them twice, and one has a token that was never sent.
         """
         first, second = get(upstream, 'first'), get(upstream, 'second')
         token = coap.decode(second.packet).token
@@ -96,30 +98,30 @@
         assert upstream.counters.duplicates == 1
         assert upstream.counters.unknown_tokens == 1
 
-    def test_repeats_an_idempotent_request_as_it_was(
+    def test_retransmits_an_idempotent_request_unchanged(
         self, upstream: Upstream
     ) -> None:
         sent = get(upstream)
         found = poll_until(upstream, DEADLINE - 1)
         repeats = [
             again
-            for again in of_type(found, effects.SendToServer)
+            for again in filter_by_type(found, effects.SendToServer)
             if again.source != effects.FRESH_SOURCE
         ]
         assert repeats == [sent, sent]
         upstream.receive(empty(coap.ACK, sent.packet), 9, sent.source)
-        assert not of_type(
+        assert not filter_by_type(
             poll_until(upstream, DEADLINE - 0.1), effects.SendToServer
         )
 
     def test_never_sends_a_non_idempotent_request_twice(
         self, upstream: Upstream
     ) -> None:
-        """A plate reading would be booked twice.
+        """Guards against a non-idempotent request that is run twice.
 
-        The server runs the request and restarts before it has answered; a
-        repeat under the same message id would then be new to it.  The request
-        ends unknown, and the server is told that nobody waits.
+        The server runs the request and restarts before it answers, so it would
+        treat a retransmission under the same message id as a new request.  The
+        request ends as unknown, and is cancelled at the server.
         """
         server = FakeServer()
         packet = post(upstream)
@@ -131,7 +133,7 @@
                     server.receive(sent, 0)
                 case effects.Failed() as failed:
                     assert failed.state is RequestState.UNKNOWN
-                    assert failed.why is ResultCode.DEADLINE_PASSED
+                    assert failed.reason is ResultCode.DEADLINE_PASSED
         assert server.runs == [b'24 mm']
         assert server.cancelled == [coap.decode(packet).mid]
         assert len(upstream) == 0
@@ -146,10 +148,10 @@
     def test_reset_after_an_ack_means_unknown_and_restart(
         self, upstream: Upstream
     ) -> None:
-        """A booking that was made would be reported as not run.
+        """Guards against a request that was run but is reported as not run.
 
-        The server acknowledges the request, runs it, restarts and then does
-        not know the request any more.
+        The server acknowledges the request, runs it and restarts, and then
+        rejects it because it has lost its state.
         """
         packet = post(upstream)
         upstream.receive(empty(coap.ACK, packet), 1, 1)
@@ -157,7 +159,7 @@
         assert found[0].state is RequestState.UNKNOWN
         assert found[1] == effects.ServerRestarted()
 
-    def test_reset_after_a_repeat_means_unknown(
+    def test_reset_after_a_retransmission_means_unknown(
         self, upstream: Upstream
     ) -> None:
         sent = get(upstream)
@@ -166,17 +168,17 @@
         found = upstream.receive(reset, 4, sent.source)
         assert found[0].state is RequestState.UNKNOWN
 
-    def test_what_was_not_handed_over_was_not_run(self) -> None:
+    def test_request_that_was_not_sent_was_not_run(self) -> None:
         upstream = Upstream(random.Random(3), UpstreamLimits(max_exchanges=1))
         late = upstream.send_request(request(), 'late', 5, 5)
         assert late[0] is None
-        assert late[1][0].why is ResultCode.DEADLINE_PASSED
+        assert late[1][0].reason is ResultCode.DEADLINE_PASSED
         get(upstream)
         full = upstream.send_request(request(), 'full', 0, 1)[1]
         assert full[0].state is RequestState.NOT_RUN
-        assert full[0].why is ResultCode.OVERLOADED
+        assert full[0].reason is ResultCode.OVERLOADED
 
-    def test_cancels_what_nobody_waits_for(self, upstream: Upstream) -> None:
+    def test_cancels_a_request(self, upstream: Upstream) -> None:
         number, sent = upstream.send_request(request(), 'x', 0, DEADLINE)
         found = upstream.cancel(number, 1)
         assert found[0].packet == empty(coap.RST, sent[0].packet)
@@ -188,19 +190,22 @@
         assert rejected[0].packet == empty(coap.RST, late)
         assert upstream.counters.late == 1
 
-    def test_refused_port_ends_what_cannot_be_answered(
+    def test_unreachable_server_ends_non_idempotent_requests(
         self, upstream: Upstream
     ) -> None:
         post(upstream)
         assert effects.ServerRestarted() in upstream.handle_unreachable(1)
         found = poll_until(upstream, 2.5)
-        assert of_type(found, effects.Failed)[0].state is RequestState.UNKNOWN
+        assert (
+            filter_by_type(found, effects.Failed)[0].state
+            is RequestState.UNKNOWN
+        )
 
     def test_undelivered_request_was_not_run(self, upstream: Upstream) -> None:
-        """A farm adviser would walk the field again for nothing.
+        """Guards against a request that is reported as unknown without need.
 
-        The server is down; the host returns the packet of one request, which
-        nobody had.  Another one was handed over before the server died.
+        The server is down.  The host returns the packet of one request, which
+        no process received.  Another was sent before the server went down.
         """
         post(upstream, 'before')
         packet = post(upstream, 'after')
@@ -209,7 +214,7 @@
         assert found[0] == effects.Failed(
             'after', RequestState.NOT_RUN, ResultCode.NO_SERVER
         )
-        ended = of_type(poll_until(upstream, 2.5), effects.Failed)
+        ended = filter_by_type(poll_until(upstream, 2.5), effects.Failed)
         assert [one.owner for one in ended] == ['before']
         assert ended[0].state is RequestState.UNKNOWN
 
@@ -222,10 +227,10 @@
 
 
 class TestFeedsAtServer:
-    """Feeds and the signs that the server has lost them."""
+    """Feeds, and detection of a server that has lost them."""
 
     def open(self, upstream: Upstream, owner: str) -> effects.SendToServer:
-        """Register a feed and take its first state, number 10."""
+        """Register a feed and handle its first notification, number 10."""
         asked = request(observe=coap.OBSERVE_REGISTER)
         sent = upstream.open_feed(asked, owner, 0, DEADLINE)[1][0]
         found = self.answer(upstream, sent, 10, 0)
@@ -239,7 +244,7 @@
         number: int,
         now: float,
     ) -> list:
-        """Answer a registration with a number."""
+        """Handle a server's answer to a registration, with a number."""
         answered = coap.reply_to(coap.decode(sent.packet), coap.CONTENT, b'1')
         answered.opt.observe = number
         return upstream.receive(coap.encode(answered), now, sent.source)
@@ -247,16 +252,16 @@
     def notify(
         self, upstream: Upstream, sent: effects.SendToServer, number: int
     ) -> list:
-        """Send a notification."""
+        """Handle a server's notification."""
         update = response(coap.decode(sent.packet).token, number)
         update.opt.observe = number
         return upstream.receive(coap.encode(update), 1, sent.source)
 
     def test_drops_notifications_out_of_order(self, upstream: Upstream) -> None:
-        """A planner would see yesterday's growth after today's.
+        """Guards against an old notification forwarded after a newer one.
 
-        The server sends two states, the network swaps them and delivers the
-        newer one twice.
+        The server sends two notifications.  The network swaps them and
+        delivers the newer one twice.
         """
         sent = self.open(upstream, 'feed')
         newer = self.notify(upstream, sent, 12)
@@ -266,12 +271,12 @@
             assert [type(effect) for effect in found] == [effects.SendToServer]
         assert upstream.counters.duplicates == 2
 
-    def test_finds_a_restart_without_a_word(self, upstream: Upstream) -> None:
-        """All feeds of a server would stay silent for good.
+    def test_detects_a_restart_without_errors(self, upstream: Upstream) -> None:
+        """Guards against feeds that stay silent after a restart.
 
-        The server restarts between two requests and nothing fails: it has
-        just forgotten who observes.  Registering one silent feed again shows
-        it by a number behind the last one.
+        The server restarts between two requests, so no request fails, but its
+        feeds are lost.  When one silent feed is registered again, the answer
+        has a lower number than the last notification.
         """
         for owner in ('one', 'two', 'three'):
             self.open(upstream, owner)
@@ -279,7 +284,7 @@
         assert len(checks) == 1
         found = self.answer(upstream, checks[0], 1, 3)
         assert found[0] == effects.ServerRestarted()
-        ended = of_type(found, effects.FeedEnded)
+        ended = filter_by_type(found, effects.FeedEnded)
         assert {end.owner for end in ended} == {'one', 'two', 'three'}
 
     def test_slow_answer_to_a_refresh_is_no_restart(
@@ -292,10 +297,10 @@
         assert upstream.counters.restarts == 0
 
     def test_registers_silent_feeds_again(self) -> None:
-        """A feed that the server has lost would stay silent.
+        """Guards against a feed that the server has lost and that stays silent.
 
-        Whatever the reason, each feed without a notification for its Max-Age
-        is registered again under its token.
+        For whatever reason it was lost, each feed without a notification for
+        its Max-Age is registered again under its token.
         """
         limits = UpstreamLimits(check_interval=1000)
         upstream = Upstream(random.Random(3), limits)
@@ -306,13 +311,13 @@
         again = poll_until(upstream, limits.refresh_after * 3 / 2)
         sent = [
             coap.decode(one.packet)
-            for one in of_type(again, effects.SendToServer)
+            for one in filter_by_type(again, effects.SendToServer)
             if one.source != effects.FRESH_SOURCE
         ]
         assert {one.token for one in sent} == tokens
         assert all(one.opt.observe == 0 for one in sent)
 
-    def test_closed_feed_is_rejected_at_its_next_state(
+    def test_closed_feed_is_rejected_at_its_next_notification(
         self, upstream: Upstream
     ) -> None:
         sent = self.open(upstream, 'feed')
@@ -328,27 +333,27 @@
         sent = self.open(upstream, 'feed')
         last = coap.encode(response(coap.decode(sent.packet).token, 14))
         ended = upstream.receive(last, 1, sent.source)[1]
-        assert ended.why is ResultCode.OK
+        assert ended.reason is ResultCode.OK
         assert ended.response.payload == b'1'
 
 
 class TestServerLinks:
-    """Sockets that go silent, and servers that do."""
+    """Sockets that no longer receive, and servers that do not answer."""
 
     @pytest.mark.parametrize('answered', [True, False])
-    def test_tells_a_silent_link_from_a_silent_server(
+    def test_distinguishes_a_failed_socket_from_a_failed_server(
         self, upstream: Upstream, answered: bool
     ) -> None:
-        """Requests time out for good while a new socket would work.
+        """Guards against a socket that times out while a new one would work.
 
-        A packet filter between agent and server has lost track of the socket.
-        After three timeouts in a row a ping goes out from a fresh one.
+        A packet filter between agent and server has lost the socket's state.
+        After three consecutive timeouts a ping is sent from a new socket.
         """
         get(upstream)
         found = poll_until(upstream, DEADLINE)
         pings = [
             sent
-            for sent in of_type(found, effects.SendToServer)
+            for sent in filter_by_type(found, effects.SendToServer)
             if sent.source == effects.FRESH_SOURCE
         ]
         if answered:
@@ -356,35 +361,33 @@
             verdict = upstream.receive(pong, DEADLINE, effects.FRESH_SOURCE)
         else:
             verdict = upstream.poll(DEADLINE + PROBE_TIMEOUT)
-        silent = of_type(found + verdict, effects.ServerSilent)
+        silent = filter_by_type(found + verdict, effects.ServerSilent)
         assert [told.probe_answered for told in silent] == [answered]
 
-    def test_a_silent_server_has_lost_all_its_feeds(
-        self, upstream: Upstream
-    ) -> None:
-        """Feeds stay silent for minutes after their server has frozen.
+    def test_failed_probe_ends_all_feeds(self, upstream: Upstream) -> None:
+        """Guards against feeds that stay silent for minutes at a hung server.
 
-        Their registrations are checked one every two seconds; each one that
-        is not answered moved a single feed, although the server had not
+        One registration is checked every two seconds, and an unanswered check
+        ends a single feed.  All feeds must end once the server has not
         answered the probe either.
         """
         owners = {f'feed {number}' for number in range(20)}
         for owner in owners:
             TestFeedsAtServer().open(upstream, owner)
         found = poll_until(upstream, 30)
-        silent = of_type(found, effects.ServerSilent)
+        silent = filter_by_type(found, effects.ServerSilent)
         assert not any(told.probe_answered for told in silent)
-        ended = of_type(found, effects.FeedEnded)
+        ended = filter_by_type(found, effects.FeedEnded)
         assert {end.owner for end in ended} == owners
 
-    def test_avoids_a_link_that_times_out(self) -> None:
+    def test_avoids_a_socket_that_times_out(self) -> None:
         links = ServerLinks(2, random.Random(1))
-        links.timed_out(0, 1, 2)
+        links.record_timeout(0, 1, 2)
         assert {links.choose(3)[0] for _ in range(5)} == {1}
-        links.heard(0, 4)
+        links.record_heard(0, 4)
         assert {links.choose(5)[0] for _ in range(5)} == {0, 1}
 
-    def test_replaced_link_ends_its_feeds(self, upstream: Upstream) -> None:
+    def test_replaced_socket_ends_its_feeds(self, upstream: Upstream) -> None:
         sent = TestFeedsAtServer().open(upstream, 'feed')
         assert not upstream.handle_socket_replaced(1 - sent.source, 1)
         ended = upstream.handle_socket_replaced(sent.source, 1)
@@ -392,18 +395,18 @@
 
 
 class TestMessageIds:
-    """Message ids towards one endpoint."""
+    """Message ids of packets to one endpoint."""
 
-    def test_never_gives_an_id_twice_in_a_lifetime(self) -> None:
-        """A request would get the answer to another one.
+    def test_never_reuses_an_id_within_its_lifetime(self) -> None:
+        """Guards against a request that gets the answer to another one.
 
-        The receiver takes an id that it saw less than 247 s ago for a
-        repetition.  Ids are taken as fast as they are given out.
+        The receiver treats an id that it saw less than 247 s ago as a
+        retransmission.  Ids are allocated as fast as possible.
         """
         ids = MessageIds(start=37, first=1024, size=64)
         used_by_id: dict[int, float] = {}
         for tick in range(2000):
-            taken = ids.take(tick)
+            taken = ids.allocate(tick)
             if taken is None:
                 continue
             assert 1024 <= taken < 1088
@@ -412,7 +415,7 @@
             used_by_id[taken] = tick
         assert len(used_by_id) == 64
 
-    def test_says_when_all_are_in_use(self) -> None:
+    def test_returns_none_while_all_ids_are_in_use(self) -> None:
         ids = MessageIds(start=0, size=8)
-        assert [ids.take(0) for _ in range(9)] == [*range(8), None]
-        assert ids.take(EXCHANGE_LIFETIME) == 0
+        assert [ids.allocate(0) for _ in range(9)] == [*range(8), None]
+        assert ids.allocate(EXCHANGE_LIFETIME) == 0
--- a/redwingstream/flows/timers.py
+++ b/redwingstream/flows/timers.py
@@ -1,24 +1,24 @@
-"""Due times by key, for logic that reads no clock."""
+"""Due times by key, for logic that is passed the current time."""
 
 import heapq
 from collections.abc import Hashable, Iterator
 from typing import Generic, TypeVar
 
 # Entries that the heap may hold beyond twice the valid ones before it is
-# rebuilt, so that a small one is left alone.
+# rebuilt, so that a small heap is not rebuilt all the time.
 _SLACK = 64
 
 KeyT = TypeVar('KeyT', bound=Hashable)
 
 
 class Timers(Generic[KeyT]):
-    """One due time for each key.
+    """A priority queue with one due time for each key.
 
     Notes
     -----
     A due time that was replaced or cancelled stays in the heap until it comes
-    up and is then passed over; the heap is rebuilt when those outnumber the
-    valid ones, so it stays within twice the number of keys.
+    up and is then skipped.  The heap is rebuilt when such entries outnumber
+    the valid ones, so its size stays within about twice the number of keys.
     """
 
     def __init__(self) -> None:
@@ -39,11 +39,11 @@
             self._rebuild()
 
     def cancel(self, key: KeyT) -> None:
-        """Forget the due time of a key, if it has one."""
+        """Remove the due time of a key, if it has one."""
         self._entry_by_key.pop(key, None)
 
     def next_due(self) -> float | None:
-        """Return the earliest due time."""
+        """Return the earliest due time, or None."""
         while self._heap:
             due, serial, key = self._heap[0]
             if self._entry_by_key.get(key) == (due, serial):
@@ -52,7 +52,7 @@
         return None
 
     def pop_due(self, now: float) -> Iterator[KeyT]:
-        """Take out the keys whose time has come, earliest first."""
+        """Remove and yield the keys that are due, earliest first."""
         due = self.next_due()
         while due is not None and due <= now:
             key = heapq.heappop(self._heap)[2]
--- a/redwingstream/flows/tombstones.py
+++ b/redwingstream/flows/tombstones.py
@@ -1,4 +1,4 @@
-"""Flows that have ended, remembered for a while."""
+"""Records of flows that have ended, kept so that late records are refused."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
@@ -9,23 +9,23 @@
 from redwingstream.flows.records import FlowKey, FlowRecord
 
 TOMBSTONE_LIFETIME = EXCHANGE_LIFETIME
-"""Seconds in which a late record cannot revive a flow that has ended."""
+"""Seconds in which a late record cannot reopen a flow that has ended."""
 
 
 @attrs.frozen
 class _Tombstone:
     record: FlowRecord
     bucket: int
-    since: float
+    closed_at: float
 
 
 class Tombstones:
-    """Closed records by key, the earliest first.
+    """Closed records by key, ordered by the time of closing, oldest first.
 
     Parameters
     ----------
     capacity : int
-        How many are kept; the earliest goes first.
+        Maximum count of records; the oldest is evicted first.
     """
 
     def __init__(self, capacity: int) -> None:
@@ -33,7 +33,7 @@
         self._tombstone_by_key: OrderedDict[FlowKey, _Tombstone] = OrderedDict()
 
     def add(self, bucket: int, record: FlowRecord, now: float) -> None:
-        """Remember a closed record, without its registration."""
+        """Store a closed record, without its registration."""
         bare = attrs.evolve(record, registration=b'')
         self._tombstone_by_key.pop(record.key, None)
         self._tombstone_by_key[record.key] = _Tombstone(bare, bucket, now)
@@ -46,24 +46,24 @@
         return None if found is None else found.record
 
     def remove(self, key: FlowKey) -> None:
-        """Forget one: the flow has been opened anew."""
+        """Remove the record of a flow that has been opened again."""
         self._tombstone_by_key.pop(key, None)
 
-    def of_bucket(self, bucket: int) -> Iterator[FlowRecord]:
+    def in_bucket(self, bucket: int) -> Iterator[FlowRecord]:
         """Iterate over the closed records of a bucket."""
         for tombstone in self._tombstone_by_key.values():
             if tombstone.bucket == bucket:
                 yield tombstone.record
 
-    def drop(self, bucket: int) -> None:
-        """Forget a bucket."""
-        for record in tuple(self.of_bucket(bucket)):
+    def drop_bucket(self, bucket: int) -> None:
+        """Remove the records of a bucket."""
+        for record in tuple(self.in_bucket(bucket)):
             self._tombstone_by_key.pop(record.key)
 
-    def expire(self, now: float) -> None:
-        """Forget those that are old enough."""
+    def evict_expired(self, now: float) -> None:
+        """Drop records older than ``TOMBSTONE_LIFETIME``."""
         while self._tombstone_by_key:
             earliest = next(iter(self._tombstone_by_key.values()))
-            if now - earliest.since < TOMBSTONE_LIFETIME:
+            if now - earliest.closed_at < TOMBSTONE_LIFETIME:
                 return
             self._tombstone_by_key.popitem(last=False)
--- a/redwingstream/forwarding/__init__.py
+++ b/redwingstream/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a caller's packet: route, pool, bucket, home, and back."""
+"""Messages that carry packets and feeds between balancers and agents."""
--- a/redwingstream/forwarding/messages.py
+++ b/redwingstream/forwarding/messages.py
@@ -1,4 +1,9 @@
-"""Envelopes in which callers' packets and answers travel between processes."""
+"""Messages that carry packets, answers and feeds between processes.
+
+The home of a flow is the agent that owns its bucket; the carrier is the agent
+whose server serves the flow.  Message classes and their attributes are encoded
+under their own names.
+"""
 
 from redwingstream.flows.records import FlowKey, FlowRecord
 from redwingstream.requests.records import RequestKey, RequestState
@@ -12,19 +17,20 @@
     Parameters
     ----------
     pool : str
-        Pool that the sender's route table gave.
+        Pool that the sender's route table gives.
     revision : int
-        Revision of the sender's tables; a receiver that is behind fetches.
+        Revision of the sender's tables; a receiver with older tables fetches
+        newer ones.
     caller : str
         ``IP:PORT`` of the caller.
     service : str
-        ``IP:PORT`` that the caller sent to.
+        ``IP:PORT`` to which the caller sent it.
     balancer : str
-        ``IP:PORT`` of the balancer that the fabric handed it to.
+        ``IP:PORT`` of the balancer that received it from the network fabric.
     payload : bytes
-        The packet.
+        The CoAP message.
     hops : int
-        How often an agent has passed it on.
+        Number of times that an agent has forwarded it.
     """
 
     pool: str
@@ -47,7 +53,7 @@
     caller, service : str
         As in :class:`Packet`.
     payload : bytes
-        The packet.
+        The CoAP message.
     """
 
     revision: int
@@ -58,22 +64,23 @@
 
 @message(kind=50)
 class Assigned:
-    """A home tells an agent to carry a packet's flow on its server.
+    """A home tells an agent to carry a packet's flow.
 
     Parameters
     ----------
     packet : Packet
-        What the caller sent.
+        The caller's packet.
     home : str
-        ``IP:PORT`` of the home, which wants the outcome.
+        ``IP:PORT`` of the home, to which the outcome is sent.
     generation : int
         Generation of the flow's record; see
         :class:`~redwingstream.flows.records.FlowRecord`.
     carrier_incarnation : int
-        Run of the carrier that is meant.  A later run does not know what the
-        former one has run, so it must not run a repeated assignment.
+        Incarnation of the carrier to which it is assigned.  A later
+        incarnation does not know which requests the former one has run, so it
+        must not run an assignment that is sent again.
     wants_outcome : bool
-        True for a non-idempotent request: the home's ledger waits for
+        True for a non-idempotent request: the home's ledger waits for a
         :class:`RunOutcome`, and the home answers the caller.
     """
 
@@ -86,18 +93,19 @@
 
 @message(kind=51)
 class RunOutcome:
-    """What became of an assigned non-idempotent request.
+    """Outcome of an assigned non-idempotent request.
 
     Parameters
     ----------
     key : RequestKey
-        Which request.
+        Key of the request.
     state : RequestState
         ``ANSWERED``, ``NOT_RUN`` or ``UNKNOWN``.
     answer : bytes
         The packet for the caller.
     checksum : bytes
-        Of the request: its key alone may have been used for another one.
+        Checksum of the request, because a caller may reuse the key for another
+        request.
     """
 
     key: RequestKey
@@ -108,23 +116,24 @@
 
 @message(kind=52)
 class LoadReport:
-    """An agent tells others of its pool how much room its server has.
+    """An agent tells the others of its pool the load of its server.
 
     Parameters
     ----------
     host : str
         Name of its host.
     incarnation : int
-        Which run of the agent.
+        Incarnation of the agent.
     in_flight : int
-        Requests that its server is running.
+        Number of requests that its server is running.
     limit : int
-        Requests that it may run at once; 0 takes no new work.
+        Maximum count of requests that it may run at once; 0 if it accepts no
+        new work.
     flows : int
-        Feeds that it carries.
+        Number of feeds that it carries.
     latency : float
-        Seconds that a request takes on it, as the agent has measured; 0 when
-        it is cold or nothing is known.
+        Latency of a request in seconds, as measured by the agent; 0 if the
+        server is cold or no latency is known.
     """
 
     host: str
@@ -137,14 +146,14 @@
 
 @message(kind=53)
 class FeedMove:
-    """A carrier that leaves asks the home to place a feed elsewhere.
+    """A carrier asks the home to place a feed at another carrier.
 
     Parameters
     ----------
     pool : str
         Pool of the feed.
     record : FlowRecord
-        The feed as it stands.
+        The feed's current record.
     observe : int
         Last sequence number that the caller was sent (RFC 7641).
     """
@@ -156,12 +165,12 @@
 
 @message(kind=54)
 class FeedMoved:
-    """The home has placed the feed; its former carrier lets go of it.
+    """The home has placed a feed; its former carrier has to release it.
 
     Parameters
     ----------
     key : FlowKey
-        Which feed.
+        Key of the feed.
     generation : int
         Generation of its new record.
     """
@@ -172,7 +181,7 @@
 
 @message(kind=55)
 class TakeFeed:
-    """A home tells an agent to go on with an established feed.
+    """A home tells an agent to take over an established feed.
 
     Parameters
     ----------
@@ -181,7 +190,8 @@
     observe : int
         Last sequence number that the caller may have been sent.
     former : str
-        ``IP:PORT`` of the carrier that lets go of it; empty when it is gone.
+        ``IP:PORT`` of the carrier that has to release it; empty if that
+        carrier no longer runs.
     """
 
     record: FlowRecord
@@ -207,17 +217,17 @@
 
 @message(kind=57)
 class CarriedFeeds:
-    """A carrier tells a home which of its feeds it carries.
+    """A carrier tells a home which of the home's feeds it carries.
 
-    Sent to each new home of a bucket: after both home and heir were lost, the
-    new home learns the flows from those who carry them.
+    It is sent to each new home of a bucket.  If both home and heir were lost,
+    the new home learns the flows from their carriers.
 
     Parameters
     ----------
     pool : str
         Pool of the feeds.
     records : tuple of FlowRecord
-        The feeds, a datagram's worth at most.
+        Records of the feeds, as many as fit one datagram.
     """
 
     pool: str
