--- a/asv_bench/feed_gaps.py
+++ b/asv_bench/feed_gaps.py
@@ -16,8 +16,8 @@
 from redwingstream.flows.feed_state import FeedLimits
 from redwingstream.flows.feeds import FeedCarrier
 from redwingstream.flows.observe import is_newer
-from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.records import FlowKey, FlowRecord
+from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.wire import coap
 
 SEED = 7
--- a/asv_bench/flows.py
+++ b/asv_bench/flows.py
@@ -16,8 +16,8 @@
 from redwingstream.flows.exchanges import UpstreamLimits
 from redwingstream.flows.feed_state import FeedLimits
 from redwingstream.flows.feeds import FeedCarrier
-from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.records import FlowKey, FlowRecord
+from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.table import FlowTable
 from redwingstream.flows.upstream import Upstream
 from redwingstream.wire import coap
--- a/redwingstream/agent/parts.py
+++ b/redwingstream/agent/parts.py
@@ -2,11 +2,11 @@
 
 import attrs
 
-from redwingstream.admission.peer_choice import PeerLoads
-from redwingstream.admission.retry_delays import OverloadGauge, RetryDelays
-from redwingstream.admission.feed_limit import FeedLimit
 from redwingstream.admission.concurrency_limit import ConcurrencyLimit
+from redwingstream.admission.feed_limit import FeedLimit
+from redwingstream.admission.peer_choice import PeerLoads
 from redwingstream.admission.retry_budget import RetryBudget
+from redwingstream.admission.retry_delays import OverloadGauge, RetryDelays
 from redwingstream.agent.outputs import Outputs
 from redwingstream.agent.store import AgentStore
 from redwingstream.endpoints import parse_endpoint
--- a/redwingstream/flows/caller_message_ids.py
+++ b/redwingstream/flows/caller_message_ids.py
@@ -23,7 +23,7 @@
     """Message ids for one pair of endpoints, and when one was last used."""
 
     message_ids: MessageIds
-    last_used: float
+    last_used_at: float
 
 
 class CallerMessageIds:
@@ -57,7 +57,7 @@
             start = self._rng.randrange(IDS_PER_RANGE)
             allocated = MessageIds(start, self._first, IDS_PER_RANGE)
             used = _UsedIds(allocated, now)
-        used.last_used = now
+        used.last_used_at = now
         self._used_by_ends[ends] = used
         return used.message_ids.allocate(now)
 
@@ -65,6 +65,6 @@
         """Drop pairs that were sent nothing for ``EXCHANGE_LIFETIME``."""
         while self._used_by_ends:
             oldest = next(iter(self._used_by_ends.values()))
-            if now - oldest.last_used <= EXCHANGE_LIFETIME:
+            if now - oldest.last_used_at <= EXCHANGE_LIFETIME:
                 return
             self._used_by_ends.popitem(last=False)
--- a/redwingstream/flows/exchanges.py
+++ b/redwingstream/flows/exchanges.py
@@ -162,9 +162,9 @@
 
     Notes
     -----
-    Tokens of ended exchanges are remembered for ``EXCHANGE_LIFETIME``, so that
-    a retransmitted answer is acknowledged; one with an unknown token is
-    rejected.
+    Tokens of ended exchanges are remembered for ``EXCHANGE_LIFETIME``, up to
+    ``MAX_FINISHED`` of them.  A retransmitted answer is then acknowledged; an
+    answer with an unknown token is rejected.
     """
 
     def __init__(self) -> None:
--- a/redwingstream/flows/feed_queries.py
+++ b/redwingstream/flows/feed_queries.py
@@ -6,9 +6,9 @@
 from redwingstream.flows.feed_registry import FeedRegistry
 from redwingstream.flows.feed_state import FeedCounters, FeedLimits
 from redwingstream.flows.notifications import Notifications
-from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.records import FlowKey, FlowRecord
 from redwingstream.flows.registrations import Registrations
+from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.forwarding.messages import FeedMove
 
 
--- a/redwingstream/flows/feed_state.py
+++ b/redwingstream/flows/feed_state.py
@@ -122,10 +122,10 @@
     source : RegistrationId or None
         Current registration at the server; None while the feed is not
         registered there.
-    waiting_since : float
+    unregistered_at : float
         Start of the time without a registration at the server, in seconds, by
         the event loop's clock.
-    asked_at : float or None
+    relocation_requested_at : float or None
         When the home was last asked to place the feed at another carrier.
     failures : int
         Registrations that failed since the last notification.
--- a/redwingstream/flows/feeds.py
+++ b/redwingstream/flows/feeds.py
@@ -11,9 +11,9 @@
     CloseFeed,
     FeedClosed,
     FeedEffect,
-    RegistrationId,
     GenerationWanted,
     OpenFeed,
+    RegistrationId,
     SendToCaller,
 )
 from redwingstream.flows.feed_queries import FeedQueries
@@ -22,7 +22,7 @@
 from redwingstream.forwarding.messages import FeedMoved
 from redwingstream.wire import coap
 
-ASK_INTERVAL = 1.0
+RELOCATION_INTERVAL = 1.0
 """Seconds between two requests to place the same feed at another carrier."""
 
 FINAL_COPIES = 2
@@ -72,8 +72,8 @@
         feed = self._feeds.find_open(record.key)
         if feed is None and len(self._feeds) >= self._limits.capacity:
             self.counters.refused += 1
-            come_back = self._feeds.retry_max_age()
-            return _refuse(record, request, balancer, come_back)
+            max_age = self._feeds.retry_max_age()
+            return _refuse(record, request, balancer, max_age)
         effects = _acknowledge(record.key, request, balancer)
         if feed is None:
             self.counters.opened += 1
@@ -152,7 +152,7 @@
     def handle_notification(
         self, source: RegistrationId, notification: Message, now: float
     ) -> list[FeedEffect]:
-        """Pass a notification of the server on to the caller."""
+        """Send a notification of the server to the caller, or hold it."""
         feed = self._feeds.find_registered(source)
         if feed is None:
             # It belongs to an earlier registration of a feed that has moved
@@ -236,7 +236,7 @@
         Notes
         -----
         The agent asks their homes to place them at another carrier.  Each feed
-        is returned at most once in ``ASK_INTERVAL``: if a server with
+        is returned at most once in ``RELOCATION_INTERVAL``: if a server with
         thousands of feeds dies, thousands of requests would otherwise be sent
         at every tick.
         """
@@ -246,7 +246,7 @@
             if now - feed.unregistered_at > longer_than
             and (
                 feed.relocation_requested_at is None
-                or now - feed.relocation_requested_at >= ASK_INTERVAL
+                or now - feed.relocation_requested_at >= RELOCATION_INTERVAL
             )
         ]
         for asked in stuck:
@@ -283,10 +283,10 @@
 
 
 def _refuse(
-    record: FlowRecord, request: Message, balancer: str, come_back: int
+    record: FlowRecord, request: Message, balancer: str, max_age: int
 ) -> list[FeedEffect]:
     key = record.key
-    refusal = coap.refusal(request, ResultCode.OVERLOADED, come_back)
+    refusal = coap.refusal(request, ResultCode.OVERLOADED, max_age)
     payload = coap.encode(refusal)
     return [
         SendToCaller(balancer, key.caller, key.service, payload),
--- a/redwingstream/flows/message_ids.py
+++ b/redwingstream/flows/message_ids.py
@@ -29,7 +29,7 @@
     takes a few hundred bytes; in return up to one eighth stays unused.
     """
 
-    __slots__ = ('_first', '_next', '_size', '_used_at_by_segment')
+    __slots__ = ('_first', '_next', '_size', '_used_by_segment')
 
     def __init__(
         self, start: int, first: int = 0, size: int = MESSAGE_ID_LIMIT
@@ -37,7 +37,7 @@
         self._first = first
         self._size = size
         self._next = start % size
-        self._used_at_by_segment: list[float | None] = [
+        self._used_by_segment: list[float | None] = [
             None for _ in range(_SEGMENTS)
         ]
 
@@ -45,11 +45,11 @@
         """Return an id, or None if the next ids may still be in use."""
         per_segment = self._size // _SEGMENTS
         segment, offset = divmod(self._next, per_segment)
-        used_at = self._used_at_by_segment[segment]
+        used_at = self._used_by_segment[segment]
         if offset == 0 and used_at is not None:
             if now - used_at < EXCHANGE_LIFETIME:
                 return None
-        self._used_at_by_segment[segment] = now
+        self._used_by_segment[segment] = now
         allocated = self._first + self._next
         self._next = (self._next + 1) % self._size
         return allocated
--- a/redwingstream/flows/notifications.py
+++ b/redwingstream/flows/notifications.py
@@ -10,8 +10,8 @@
 )
 from redwingstream.flows.feed_state import Feed, FeedCounters, FeedLimits
 from redwingstream.flows.observe import COUNTER_LIMIT, sequence_number
-from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.records import FlowKey
+from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.timers import Timers
 from redwingstream.wire import coap
 
@@ -87,7 +87,7 @@
         return self._send_first(feed, coap.decode(delivery.held), now)
 
     def find(self, ends: Ends, message_id: int) -> FlowKey | None:
-        """Return the feed whose notification has this message id."""
+        """Return the key of the feed whose notification has this message id."""
         return self._key_by_message_id.get((*ends, message_id))
 
     def handle_ack(self, feed: Feed, now: float) -> list[FeedEffect]:
@@ -100,7 +100,7 @@
 
     def cancel(self, feed: Feed) -> None:
         """Stop waiting for an ACK."""
-        self._forget_id(feed)
+        self._clear_message_id(feed)
         feed.delivery.tried.clear()
         self.timers.cancel(feed.key)
 
@@ -124,7 +124,7 @@
             self._paths.record_loss(delivery.tried[-1])
         if delivery.held:
             self.counters.superseded += 1
-            self._forget_id(feed)
+            self._clear_message_id(feed)
             return self._send_first(feed, coap.decode(delivery.held), now)
         return self._transmit(feed, now)
 
@@ -199,7 +199,7 @@
     def _allocate_id(self, feed: Feed, now: float) -> int | None:
         return self._ids.allocate((feed.key.caller, feed.key.service), now)
 
-    def _forget_id(self, feed: Feed) -> None:
+    def _clear_message_id(self, feed: Feed) -> None:
         message_id = feed.delivery.message_id
         if message_id is None:
             return
--- a/redwingstream/flows/observe.py
+++ b/redwingstream/flows/observe.py
@@ -1,4 +1,4 @@
-"""Sequence numbers of notifications: the Observe option of RFC 7641."""
+"""Sequence numbers of notifications (RFC 7641, section 3.4)."""
 
 from redwingstream.wire.coap import OBSERVE_LIMIT
 
--- a/redwingstream/flows/registrations.py
+++ b/redwingstream/flows/registrations.py
@@ -4,7 +4,7 @@
 import random
 from collections.abc import Iterable
 
-from redwingstream.flows.effects import RegistrationId, OpenFeed
+from redwingstream.flows.effects import OpenFeed, RegistrationId
 from redwingstream.flows.feed_state import Feed, FeedLimits
 from redwingstream.flows.records import FlowKey
 from redwingstream.flows.timers import Timers
--- a/redwingstream/flows/request_sender.py
+++ b/redwingstream/flows/request_sender.py
@@ -27,10 +27,10 @@
 RANDOM_FACTOR = 0.5
 """Spread of the first timeout (``ACK_RANDOM_FACTOR`` of RFC 7252, less 1)."""
 
-HEAD_SIZE = 4
+HEADER_SIZE = 4
 """Size in bytes of the CoAP header, which ends with the message id."""
 
-_MESSAGE_ID_AT = 2
+_MESSAGE_ID_OFFSET = 2
 _TOKEN_SIZE = 8
 
 Effects = list[UpstreamEffect]
@@ -73,14 +73,16 @@
         chosen = None if reason else self.links.choose(now)
         if chosen is None:
             self.counters.refused += 1
-            return None, [_not_sent(owner, reason, is_feed=is_feed)]
+            return None, [_not_sent_effect(owner, reason, is_feed=is_feed)]
         source, message_id = chosen
         token = self.rng.randbytes(_TOKEN_SIZE)
         self._serial += 1
         exchange = Exchange(
             number=self._serial,
             owner=owner,
-            packet=_rewrite(request, token, message_id, deadline - now),
+            packet=_encode_for_server(
+                request, token, message_id, deadline - now
+            ),
             token=token,
             message_id=message_id,
             source=source,
@@ -202,12 +204,14 @@
         its only copy.  Idempotent requests are retransmitted instead, because
         the server may be back soon.
         """
-        message_id = int.from_bytes(packet[_MESSAGE_ID_AT:HEAD_SIZE], 'big')
+        message_id = int.from_bytes(
+            packet[_MESSAGE_ID_OFFSET:HEADER_SIZE], 'big'
+        )
         exchange = self.exchanges.find_by_message_id(message_id, source)
-        if len(packet) < HEAD_SIZE or exchange is None or exchange.is_feed:
+        if len(packet) < HEADER_SIZE or exchange is None or exchange.is_feed:
             return []
         was_seen = exchange.acknowledged or exchange.copies > 1
-        if was_seen or exchange.packet[:HEAD_SIZE] != packet[:HEAD_SIZE]:
+        if was_seen or exchange.packet[:HEADER_SIZE] != packet[:HEADER_SIZE]:
             return []
         if self._may_repeat(exchange):
             return []
@@ -259,7 +263,7 @@
         return self.give_up(exchange, now, ResultCode.DEADLINE_PASSED)
 
 
-def _rewrite(
+def _encode_for_server(
     request: Message, token: bytes, message_id: int, remaining: float
 ) -> bytes:
     """Return the packet for the server, with the remaining time in it."""
@@ -268,7 +272,7 @@
     return coap.encode(outgoing)
 
 
-def _not_sent(
+def _not_sent_effect(
     owner: Hashable, reason: ResultCode | None, *, is_feed: bool
 ) -> UpstreamEffect:
     code = reason or ResultCode.OVERLOADED
--- a/redwingstream/flows/return_paths.py
+++ b/redwingstream/flows/return_paths.py
@@ -13,7 +13,7 @@
 
 @attrs.define
 class _Path:
-    last_heard: float
+    last_heard_at: float
     unanswered: int = 0
 
 
@@ -45,7 +45,7 @@
     def record_heard(self, balancer: str, now: float) -> None:
         """Record a packet from a balancer (``IP:PORT``)."""
         path = self._path_by_balancer.pop(balancer, None) or _Path(now)
-        path.last_heard = now
+        path.last_heard_at = now
         self._path_by_balancer[balancer] = path
         oldest = next(iter(self._path_by_balancer))
         if len(self._path_by_balancer) > self._capacity:
@@ -114,5 +114,5 @@
         return found
 
     def _is_expired(self, balancer: str, now: float) -> bool:
-        last_heard = self._path_by_balancer[balancer].last_heard
-        return now - last_heard > self._lifetime
+        last_heard_at = self._path_by_balancer[balancer].last_heard_at
+        return now - last_heard_at > self._lifetime
--- a/redwingstream/flows/server_links.py
+++ b/redwingstream/flows/server_links.py
@@ -22,7 +22,7 @@
 @attrs.define
 class _Link:
     message_ids: MessageIds
-    last_heard: float = 0
+    last_heard_at: float = 0
     unanswered: int = 0
 
 
@@ -89,7 +89,7 @@
         """Record a packet from the server."""
         if source != FRESH_SOURCE:
             link = self._links[source]
-            link.last_heard = now
+            link.last_heard_at = now
             link.unanswered = 0
 
     def replace(self, source: int, rng: random.Random) -> None:
@@ -119,7 +119,7 @@
             A CoAP ping from a new socket, or nothing.
         """
         link = self._links[source]
-        if link.last_heard > sent_at:
+        if link.last_heard_at > sent_at:
             return []
         link.unanswered += 1
         if link.unanswered < SILENT_TIMEOUTS or self._probe is not None:
--- a/redwingstream/flows/table.py
+++ b/redwingstream/flows/table.py
@@ -42,7 +42,7 @@
 class _Entry:
     record: FlowRecord
     bucket: int
-    last_used: float
+    last_used_at: float
 
 
 class FlowTable:
@@ -90,15 +90,15 @@
             self.counters.stale += 1
             return False
         if record.closed:
-            self._forget(record.key)
+            self._remove(record.key)
             self._tombstones.add(bucket, record, now)
             return True
         if not self.accepts(record):
             self.counters.refused += 1
             return False
-        self._forget(record.key)
+        self._remove(record.key)
         self._tombstones.remove(record.key)
-        self._remember(_Entry(record, bucket, now))
+        self._insert(_Entry(record, bucket, now))
         return True
 
     def accepts(self, record: FlowRecord) -> bool:
@@ -125,7 +125,7 @@
             entry = self._entry_by_key.get(FlowKey(caller, service))
         if entry is None:
             return None
-        entry.last_used = now
+        entry.last_used_at = now
         if not entry.record.registration:
             self._plain_by_key.move_to_end(entry.record.key)
         return entry.record
@@ -151,8 +151,8 @@
     def export(self, bucket: int) -> tuple[FlowRecord, ...]:
         """Return the records of a bucket, including those of ended flows."""
         keys = self._keys_by_bucket.get(bucket, ())
-        alive = [self._entry_by_key[key].record for key in keys]
-        return (*alive, *self._tombstones.in_bucket(bucket))
+        open_records = [self._entry_by_key[key].record for key in keys]
+        return (*open_records, *self._tombstones.in_bucket(bucket))
 
     def merge(
         self, bucket: int, records: Iterable[FlowRecord], now: float
@@ -163,7 +163,7 @@
     def drop_bucket(self, bucket: int) -> None:
         """Drop a bucket that now has another home and heir."""
         for key in tuple(self._keys_by_bucket.get(bucket, ())):
-            self._forget(key)
+            self._remove(key)
         self._tombstones.drop_bucket(bucket)
 
     def carried_by(self, host: str) -> tuple[FlowRecord, ...]:
@@ -187,17 +187,17 @@
         self._tombstones.evict_expired(now)
         while self._plain_by_key:
             oldest = next(iter(self._plain_by_key))
-            idle = now - self._entry_by_key[oldest].last_used
+            idle = now - self._entry_by_key[oldest].last_used_at
             if idle < self._idle_timeout:
                 return
-            self._forget(oldest)
+            self._remove(oldest)
             self.counters.expired += 1
 
-    def _remember(self, entry: _Entry) -> None:
+    def _insert(self, entry: _Entry) -> None:
         if self._plain_by_key and len(self._entry_by_key) >= self._capacity:
             # Without its placement a flow may move to another server, which
             # only affects the load; without its record a feed breaks.
-            self._forget(next(iter(self._plain_by_key)))
+            self._remove(next(iter(self._plain_by_key)))
             self.counters.evicted += 1
         key = entry.record.key
         self._entry_by_key[key] = entry
@@ -211,7 +211,7 @@
         else:
             self._plain_by_key[key] = None
 
-    def _forget(self, key: FlowKey) -> None:
+    def _remove(self, key: FlowKey) -> None:
         entry = self._entry_by_key.pop(key, None)
         if entry is None:
             return
--- a/redwingstream/flows/tests/fakes.py
+++ b/redwingstream/flows/tests/fakes.py
@@ -10,8 +10,8 @@
 from redwingstream.flows.feeds import FeedCarrier
 from redwingstream.flows.message_ids import EXCHANGE_LIFETIME
 from redwingstream.flows.observe import FRESH_AFTER, is_newer
-from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.records import FlowKey, FlowRecord
+from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.upstream import Upstream
 from redwingstream.wire import coap
 
--- a/redwingstream/flows/tests/test_feeds.py
+++ b/redwingstream/flows/tests/test_feeds.py
@@ -12,8 +12,8 @@
 from redwingstream.flows.feed_state import FeedLimits
 from redwingstream.flows.feeds import FeedCarrier
 from redwingstream.flows.observe import COUNTER_LIMIT, is_newer
-from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.records import FlowKey
+from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.tests.fakes import (
     CALLER,
     KEY,
@@ -243,7 +243,7 @@
         assert len(carrier) == 0
 
     def test_reopens_while_the_final_answer_waits_for_its_ack(self) -> None:
-        """Guards against sequence numbers that restart for the same token.
+        """Guards against a reopened feed whose notifications look old.
 
         The server ends the feed, and the caller's ACK is lost.  The caller
         opens the feed again under its token.  It would drop notifications
--- a/redwingstream/flows/tests/test_upstream.py
+++ b/redwingstream/flows/tests/test_upstream.py
@@ -7,8 +7,8 @@
 from redwingstream.errors import ResultCode
 from redwingstream.flows import effects
 from redwingstream.flows.exchanges import UpstreamLimits
-from redwingstream.flows.server_links import PROBE_TIMEOUT, ServerLinks
 from redwingstream.flows.message_ids import EXCHANGE_LIFETIME, MessageIds
+from redwingstream.flows.server_links import PROBE_TIMEOUT, ServerLinks
 from redwingstream.flows.tests.fakes import FakeServer, request, response
 from redwingstream.flows.upstream import Upstream
 from redwingstream.requests.records import RequestState
