--- a/redwingstream/agent/factory.py
+++ b/redwingstream/agent/factory.py
@@ -2,11 +2,11 @@
 
 import random
 
-from redwingstream.admission.peer_choice import PeerLoads
-from redwingstream.admission.retry_delays import OverloadGauge, RetryDelays
-from redwingstream.admission.feed_limit import FeedLimit
 from redwingstream.admission.concurrency_limit import ConcurrencyLimit
+from redwingstream.admission.feed_limit import FeedLimit
+from redwingstream.admission.peer_choice import PeerLoads
 from redwingstream.admission.retry_budget import RetryBudget
+from redwingstream.admission.retry_delays import OverloadGauge, RetryDelays
 from redwingstream.agent.outputs import Outputs
 from redwingstream.agent.parts import (
     REPLAY_HORIZON,
@@ -16,7 +16,7 @@
 )
 from redwingstream.agent.store import AgentStore
 from redwingstream.flows.feeds import FeedCarrier
-from redwingstream.flows.paths import ReturnPaths
+from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.upstream import Upstream
 from redwingstream.node.metrics import Metrics
 from redwingstream.placement.keeper import BucketKeeper
--- a/redwingstream/agent/parts.py
+++ b/redwingstream/agent/parts.py
@@ -2,16 +2,16 @@
 
 import attrs
 
-from redwingstream.admission.peer_choice import PeerLoads
-from redwingstream.admission.retry_delays import OverloadGauge, RetryDelays
-from redwingstream.admission.feed_limit import FeedLimit
 from redwingstream.admission.concurrency_limit import ConcurrencyLimit
+from redwingstream.admission.feed_limit import FeedLimit
+from redwingstream.admission.peer_choice import PeerLoads
 from redwingstream.admission.retry_budget import RetryBudget
+from redwingstream.admission.retry_delays import OverloadGauge, RetryDelays
 from redwingstream.agent.outputs import Outputs
 from redwingstream.agent.store import AgentStore
 from redwingstream.endpoints import parse_endpoint
 from redwingstream.flows.feeds import FeedCarrier
-from redwingstream.flows.paths import ReturnPaths
+from redwingstream.flows.return_paths import ReturnPaths
 from redwingstream.flows.upstream import Upstream
 from redwingstream.membership.peers import PeerLinks
 from redwingstream.node.metrics import Metrics
