--- a/asv_bench/event_lines.py
+++ b/asv_bench/event_lines.py
@@ -8,7 +8,7 @@
 import time
 
 from asv_bench import fitting, output
-from redwingstream.eventlog.lines import LINES_A_SECOND, EventLog
+from redwingstream.eventlog.lines import MAX_LINES_PER_SECOND, EventLog
 from redwingstream.packets.events import FlowOpened
 
 LINES = 20000
@@ -44,7 +44,7 @@
     flags = output.read_flags('event_lines')
     report = output.Report('event_lines')
     rows = []
-    for rate in (LINES_A_SECOND, LINES):
+    for rate in (MAX_LINES_PER_SECOND, LINES):
         costs = [measure(rate) for _ in range(fitting.REPEATS)]
         rows.append({'lines a second': rate, 'us': fitting.spread(costs)})
     report.add('a line of the event log', rows)
--- a/redwingstream/directory/inquiry.py
+++ b/redwingstream/directory/inquiry.py
@@ -238,7 +238,7 @@
             unpack_update(report.update)
         )
         if has_new_tables and self.history.tables.revision == report.revision:
-            self.in_force_seconds.note(report.revision_age)
+            self.in_force_seconds.record(report.revision_age)
         return has_new_tables
 
     def _handle_unchanged(self, answer: Unchanged, now: float) -> None:
--- a/redwingstream/eventlog/lines.py
+++ b/redwingstream/eventlog/lines.py
@@ -18,7 +18,7 @@
 
 from redwingstream.eventlog.outputs import Sink
 
-LINES_A_SECOND = 20
+MAX_LINES_PER_SECOND = 20
 """Lines of one kind that are written within a second; the rest is counted.
 With 25 kinds of events a process then writes 500 lines a second at most, which
 takes 0.2 % of a core."""
@@ -92,7 +92,7 @@
         if int(now) != budget.second:
             budget.second = int(now)
             budget.written = 0
-        if budget.written >= LINES_A_SECOND:
+        if budget.written >= MAX_LINES_PER_SECOND:
             budget.left_out += 1
             self.counters.over_budget += 1
             return
@@ -130,7 +130,7 @@
         return name
 
 
-def write_failure(text: str) -> None:
+def write_start_failure(text: str) -> None:
     """Write the reason why a process cannot start, before it has a log."""
     line = msgspec.json.encode({'event': 'not_started', 'reason': text})
     sys.stderr.write(f'{line.decode()}\n')
--- a/redwingstream/eventlog/tests/test_lines.py
+++ b/redwingstream/eventlog/tests/test_lines.py
@@ -4,7 +4,7 @@
 import pytest
 
 from redwingstream.eventlog.lines import (
-    LINES_A_SECOND,
+    MAX_LINES_PER_SECOND,
     EventLog,
     event,
 )
@@ -59,13 +59,13 @@
         assert output.lines[-1].endswith(b'\n')
 
     def test_a_kind_has_a_budget_for_each_second(self, log, output) -> None:
-        for _ in range(LINES_A_SECOND + 7):
+        for _ in range(MAX_LINES_PER_SECOND + 7):
             log.write(FlowSeen('a>b', 1))
-        assert len(output.lines) == LINES_A_SECOND
+        assert len(output.lines) == MAX_LINES_PER_SECOND
         assert log.counters.over_budget == 7
 
     def test_the_next_line_says_what_was_left_out(self, log, output) -> None:
-        for _ in range(LINES_A_SECOND + 7):
+        for _ in range(MAX_LINES_PER_SECOND + 7):
             log.write(FlowSeen('a>b', 1))
         self.now = float(1)
         log.write(FlowSeen('a>b', 1))
--- a/redwingstream/fleet/observed/agent.py
+++ b/redwingstream/fleet/observed/agent.py
@@ -11,7 +11,7 @@
     REFUSALS,
     SERVER,
     Sample,
-    counted,
+    counters_sample,
 )
 
 
@@ -22,8 +22,8 @@
     now = agent.process.clock()
     load = context.load()
     state = agent.gate.state
-    yield counted(PACKETS, context.counters)
-    yield counted(REFUSALS, context.refusals.counters)
+    yield counters_sample(PACKETS, context.counters)
+    yield counters_sample(REFUSALS, context.refusals.counters)
     yield Sample(
         FLOWS,
         {
--- a/redwingstream/fleet/observed/balancer.py
+++ b/redwingstream/fleet/observed/balancer.py
@@ -9,7 +9,7 @@
     PACKETS,
     REFUSALS,
     Sample,
-    counted,
+    counters_sample,
 )
 
 
@@ -18,8 +18,8 @@
     forwarder = balancer.forwarder
     inquirer = balancer.control_client.inquirer
     now = balancer.process.clock()
-    yield counted(PACKETS, forwarder.counters)
-    yield counted(REFUSALS, forwarder.refusals.counters)
+    yield counters_sample(PACKETS, forwarder.counters)
+    yield counters_sample(REFUSALS, forwarder.refusals.counters)
     yield Sample(
         FLOWS, {'hints': len(forwarder.hints), 'early': len(forwarder.early)}
     )
--- a/redwingstream/fleet/observed/common.py
+++ b/redwingstream/fleet/observed/common.py
@@ -14,7 +14,7 @@
     LOG_LINES,
     TABLES,
     Sample,
-    counted,
+    counters_sample,
 )
 
 
@@ -22,11 +22,11 @@
     process: Process, servers: Iterable[HttpServer]
 ) -> Iterator[Sample]:
     """Yield the metrics of every process."""
-    yield counted(LOG_LINES, process.log.counters)
+    yield counters_sample(LOG_LINES, process.log.counters)
     yield Sample(DELAYS, {'process': process.delay_monitor.delays})
     calls: Counter[str] = Counter()
     for server in servers:
-        calls.update(counted(CALLS, server.counters).level_by_label)
+        calls.update(counters_sample(CALLS, server.counters).value_by_label)
     yield Sample(CALLS, dict(calls))
 
 
--- a/redwingstream/fleet/replication.py
+++ b/redwingstream/fleet/replication.py
@@ -250,7 +250,7 @@
         try:
             await _propose_all(replica, commands, waiter)
             outcome = 'accepted'
-            self.change_seconds.note(self._process.clock() - started_at)
+            self.change_seconds.record(self._process.clock() - started_at)
         except RedwingstreamError as error:
             outcome = error.code.name.lower()
             raise
@@ -280,7 +280,7 @@
         try:
             self._start(
                 self._folder_stack.enter_context(
-                    open_folder(folder, self.sync_seconds.note)
+                    open_folder(folder, self.sync_seconds.record)
                 )
             )
         except StorageError as error:
--- a/redwingstream/httpd/server.py
+++ b/redwingstream/httpd/server.py
@@ -38,7 +38,7 @@
 longer than the longest pause of a sender that is still useful, since callers
 of this interface give up after a few seconds."""
 
-Answerer = Callable[[Request], Awaitable[Response]]
+RequestHandler = Callable[[Request], Awaitable[Response]]
 
 
 @attrs.define
@@ -140,7 +140,7 @@
     """
 
     def __init__(
-        self, answerer: Answerer, failed: Callable[[Exception], None]
+        self, answerer: RequestHandler, failed: Callable[[Exception], None]
     ) -> None:
         self.counters = HttpCounters()
         self._answerer = answerer
@@ -183,7 +183,7 @@
 @contextlib.asynccontextmanager
 async def serve_http(
     endpoint: Endpoint,
-    answerer: Answerer,
+    answerer: RequestHandler,
     failed: Callable[[Exception], None],
 ) -> AsyncIterator[HttpServer]:
     """Listen on an address, and close everything at the end.
--- a/redwingstream/packets/agent_forwarder.py
+++ b/redwingstream/packets/agent_forwarder.py
@@ -98,7 +98,7 @@
             carried.is_ending = True
         if head.size and not carried.has_answered:
             carried.has_answered = True
-            self.context.opening_seconds.note(now - carried.opened_at)
+            self.context.opening_seconds.record(now - carried.opened_at)
         if head.size or carried.is_ending:
             self.context.flows.stop_waiting(carried)
 
--- a/redwingstream/telemetry/exposition.py
+++ b/redwingstream/telemetry/exposition.py
@@ -16,7 +16,7 @@
 PREFIX = 'redwingstream_'
 LABEL = 'what'
 
-Samples = Callable[[], Iterable[Sample]]
+SampleSource = Callable[[], Iterable[Sample]]
 
 
 class Exposition:
@@ -28,7 +28,7 @@
         Returns the samples as of now.
     """
 
-    def __init__(self, samples: Samples) -> None:
+    def __init__(self, samples: SampleSource) -> None:
         self._samples = samples
         self._library: Any = None
 
@@ -44,7 +44,7 @@
 
 
 class _Collector:
-    def __init__(self, library: Any, samples: Samples) -> None:
+    def __init__(self, library: Any, samples: SampleSource) -> None:
         self._core = library.core
         self._samples = samples
 
@@ -65,7 +65,7 @@
         if sample.family.kind is Kind.COUNTER:
             kind = self._core.CounterMetricFamily
         family = kind(name, meaning, labels=(LABEL,))
-        for label, level in sample.level_by_label.items():
+        for label, level in sample.value_by_label.items():
             family.add_metric((label,), level)
         return family
 
--- a/redwingstream/telemetry/families.py
+++ b/redwingstream/telemetry/families.py
@@ -53,7 +53,7 @@
     """
 
     family: Family
-    level_by_label: dict[str, float] = attrs.field(factory=dict)
+    value_by_label: dict[str, float] = attrs.field(factory=dict)
     histogram: Histogram | None = None
 
 
@@ -157,7 +157,7 @@
 """All families, in the order of the page."""
 
 
-def counted(family: Family, *counters: object) -> Sample:
+def counters_sample(family: Family, *counters: object) -> Sample:
     """Return a sample of the fields of ``attrs`` counters, by their names."""
     level_by_label: dict[str, float] = {}
     for one in counters:
--- a/redwingstream/telemetry/histogram.py
+++ b/redwingstream/telemetry/histogram.py
@@ -35,7 +35,7 @@
         """How many durations were noted."""
         return sum(self._counts)
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Count a duration."""
         self.total += seconds
         self._counts[bisect.bisect_left(BOUNDS, seconds)] += 1
--- a/redwingstream/telemetry/tests/test_exposition.py
+++ b/redwingstream/telemetry/tests/test_exposition.py
@@ -12,7 +12,7 @@
     OPENING_SECONDS,
     PACKETS,
     Sample,
-    counted,
+    counters_sample,
 )
 from redwingstream.telemetry.histogram import BOUNDS, Histogram
 
@@ -29,7 +29,7 @@
     """The text of the exposition format."""
 
     async def test_counters_have_a_series_for_each_field(self) -> None:
-        text = await _render(counted(PACKETS, _Counters()))
+        text = await _render(counters_sample(PACKETS, _Counters()))
         assert 'redwingstream_packets_total{what="opened"} 3.0' in text
         assert 'redwingstream_packets_total{what="passed_on"} 0.0' in text
 
@@ -39,8 +39,8 @@
 
     async def test_histograms(self) -> None:
         histogram = Histogram()
-        histogram.note(0.003)
-        histogram.note(99)
+        histogram.record(0.003)
+        histogram.record(99)
         sample = Sample(OPENING_SECONDS, histogram=histogram)
         text = await _render(sample)
         name = 'redwingstream_opening_to_answer_seconds'
@@ -55,7 +55,7 @@
     @pytest.mark.parametrize('bound', BOUNDS)
     def test_a_bound_belongs_to_its_own_bucket(self, bound: float) -> None:
         histogram = Histogram()
-        histogram.note(bound)
+        histogram.record(bound)
         below = dict(histogram.cumulative())
         assert below[str(bound)] == 1
         assert histogram.count == 1
