--- a/redwingstream/flows/return_paths.py
+++ b/redwingstream/flows/return_paths.py
@@ -65,11 +65,11 @@
         for known in tuple(self._path_by_balancer):
             if known not in balancers:
                 self._path_by_balancer.pop(known)
-        heard = self._path_by_balancer
-        room = self._capacity - len(heard)
-        added = [name for name in balancers if name not in heard][:room]
+        kept = self._path_by_balancer
+        room = self._capacity - len(kept)
+        added = [name for name in balancers if name not in kept][:room]
         # New members count as the least recently heard.
-        self._path_by_balancer = {name: _Path(now) for name in added} | heard
+        self._path_by_balancer = {name: _Path(now) for name in added} | kept
 
     def record_loss(self, balancer: str) -> None:
         """Record that a packet sent through a balancer got no ACK."""
--- a/redwingstream/flows/tests/test_block_transfers.py
+++ b/redwingstream/flows/tests/test_block_transfers.py
@@ -29,7 +29,7 @@
     return asked
 
 
-class TestTransfers:
+class TestBlockTransfers:
     """Transfers in progress, and what the home of a bucket hands over."""
 
     def test_transfer_in_progress_is_handed_over_as_placement(self) -> None:
