--- a/redwingstream/eventlog/__init__.py
+++ b/redwingstream/eventlog/__init__.py
@@ -1,9 +1,12 @@
-"""Structured logs: one line for each decision, bounded, never waiting.
+"""Structured event log of a process: one line of JSON for each decision.
+
+The number of lines per second is limited, and writing never blocks the event
+loop.
 
 Modules
 -------
 lines
-    The writer: budget and encoding.
+    Encodes events as lines and limits their rate.
 outputs
-    Where lines go without waiting: a pipe, or a file by a thread.
+    Writes lines without blocking: to a pipe directly, to a file in a thread.
 """
--- a/redwingstream/eventlog/tests/test_lines.py
+++ b/redwingstream/eventlog/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""The event log: bounded, and never waiting."""
+"""The event log limits its rate and never blocks."""
 
 import msgspec
 import pytest
@@ -12,20 +12,20 @@
 
 @event
 class FlowSeen:
-    """An event of a test."""
+    """An event used in these tests."""
 
     flow: str
     hops: int
 
 
 class _Output:
-    """Takes lines, unless nobody reads."""
+    """An output that accepts lines while its reader is running."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []
         self.is_read = True
 
-    def put(self, line: bytes) -> bool:
+    def accept_line(self, line: bytes) -> bool:
         if self.is_read:
             self.lines.append(line)
         return self.is_read
@@ -35,7 +35,7 @@
 
 
 class TestEventLog:
-    """Lines of one process."""
+    """Lines that the event log of one process writes."""
 
     @pytest.fixture
     def output(self) -> _Output:
@@ -44,9 +44,11 @@
     @pytest.fixture
     def log(self, output: _Output) -> EventLog:
         self.now = float(0)
-        return EventLog('front-1', 'balancer', lambda: self.now, output.put)
+        return EventLog(
+            'front-1', 'balancer', lambda: self.now, output.accept_line
+        )
 
-    def test_a_line_says_who_what_and_when(self, log, output) -> None:
+    def test_a_line_holds_source_event_and_time(self, log, output) -> None:
         self.now = 12.5
         log.write(FlowSeen('a>b', 2))
         line = output.last()
@@ -58,13 +60,13 @@
         assert line['hops'] == 2
         assert output.lines[-1].endswith(b'\n')
 
-    def test_a_kind_has_a_budget_for_each_second(self, log, output) -> None:
+    def test_rate_of_an_event_class_is_limited(self, log, output) -> None:
         for _ in range(MAX_LINES_PER_SECOND + 7):
             log.write(FlowSeen('a>b', 1))
         assert len(output.lines) == MAX_LINES_PER_SECOND
         assert log.counters.over_budget == 7
 
-    def test_the_next_line_says_what_was_left_out(self, log, output) -> None:
+    def test_the_next_line_counts_events_left_out(self, log, output) -> None:
         for _ in range(MAX_LINES_PER_SECOND + 7):
             log.write(FlowSeen('a>b', 1))
         self.now = float(1)
@@ -73,11 +75,13 @@
         log.write(FlowSeen('a>b', 1))
         assert 'left_out_before' not in output.last()
 
-    def test_a_reader_that_stops_costs_lines_only(self, log, output) -> None:
-        """Traffic goes on while nobody reads the logs.
+    def test_lines_are_lost_while_the_reader_is_stopped(
+        self, log, output
+    ) -> None:
+        """A stopped log reader does not block the process.
 
-        The reader of standard output is stopped and the pipe fills up.  Lines
-        are dropped and counted, and the first one after says how many.
+        The reader of standard output stops and the pipe fills up.  Lines are
+        dropped and counted, and the next line written gives their number.
         """
         output.is_read = False
         for _ in range(3):
--- a/redwingstream/eventlog/tests/test_outputs.py
+++ b/redwingstream/eventlog/tests/test_outputs.py
@@ -1,39 +1,39 @@
-"""Lines that go to a file whose disk may stall."""
+"""Lines written to a file whose disk may stall."""
 
 import threading
 
 import pytest
 
-from redwingstream.eventlog.outputs import MAX_WAITING, FileWriter
+from redwingstream.eventlog.outputs import MAX_QUEUED_LINES, FileWriter
 
-LIMIT = 10.0
-"""Seconds after which a test that waits has failed."""
+WAIT_SECONDS = 10.0
+"""Seconds that a test waits for a thread before it fails."""
 
 
 class _Disk:
-    """Takes bytes, a few at a time, unless it stalls."""
+    """A disk that writes a few bytes per call and can stall or be full."""
 
-    def __init__(self, at_once: int = 5) -> None:
-        self.taken = b''
+    def __init__(self, bytes_per_write: int = 5) -> None:
+        self.written = b''
         self.is_full = False
-        self._at_once = at_once
-        self._works = threading.Event()
-        self._works.set()
-        self.asked = threading.Event()
+        self._bytes_per_write = bytes_per_write
+        self._is_running = threading.Event()
+        self._is_running.set()
+        self.write_started = threading.Event()
 
     def stall(self) -> None:
-        self._works.clear()
+        self._is_running.clear()
 
-    def go_on(self) -> None:
-        self._works.set()
+    def resume(self) -> None:
+        self._is_running.set()
 
     def write(self, line: bytes) -> int:
-        self.asked.set()
-        assert self._works.wait(LIMIT)
+        self.write_started.set()
+        assert self._is_running.wait(WAIT_SECONDS)
         if self.is_full:
             raise OSError('no space left')
-        part = line[: self._at_once]
-        self.taken += part
+        part = line[: self._bytes_per_write]
+        self.written += part
         return len(part)
 
 
@@ -52,39 +52,37 @@
         lines = [b'line %d\n' % number for number in range(50)]
         assert all(writer.put(line) for line in lines)
         writer.close()
-        assert disk.taken == b''.join(lines)
+        assert disk.written == b''.join(lines)
 
-    def test_goes_on_while_the_disk_stalls(self, writer, disk) -> None:
-        """All flows of an instance stand still for three seconds.
+    def test_accepts_lines_while_the_disk_stalls(self, writer, disk) -> None:
+        """A stalled disk does not block the process.
 
-        Its processes write their logs to files.  The disk stalls, the next
-        line waits for it, and the process with it.
+        If a process itself wrote to its log file, a disk that stalls for three
+        seconds would block the process, and with it all flows of the instance.
         """
         disk.stall()
-        lines = [b'%d\n' % number for number in range(MAX_WAITING)]
+        lines = [b'%d\n' % number for number in range(MAX_QUEUED_LINES)]
         assert all(writer.put(line) for line in lines)
-        disk.go_on()
+        disk.resume()
         writer.close()
-        assert disk.taken == b''.join(lines)
+        assert disk.written == b''.join(lines)
 
-    def test_refuses_lines_once_too_many_wait(self, writer, disk) -> None:
+    def test_rejects_lines_when_the_queue_is_full(self, writer, disk) -> None:
         disk.stall()
         writer.put(b'first\n')
-        assert disk.asked.wait(LIMIT)
-        taken = [writer.put(b'line\n') for _ in range(MAX_WAITING + 10)]
-        assert taken.count(False) == 10
-        disk.go_on()
-
-    def test_a_process_ends_although_the_disk_stalls(
-        self, writer, disk
-    ) -> None:
+        assert disk.write_started.wait(WAIT_SECONDS)
+        accepted = [writer.put(b'line\n') for _ in range(MAX_QUEUED_LINES + 10)]
+        assert accepted.count(False) == 10
+        disk.resume()
+
+    def test_close_returns_although_the_disk_stalls(self, writer, disk) -> None:
         disk.stall()
         writer.put(b'last\n')
         writer.close()
-        assert disk.taken == b''
-        disk.go_on()
+        assert disk.written == b''
+        disk.resume()
 
-    def test_says_that_lines_are_missing(self, writer, disk) -> None:
+    def test_reports_lines_lost_by_write_errors(self, writer, disk) -> None:
         disk.is_full = True
         assert writer.put(b'lost\n')
         writer.close()
