--- a/redwingstream/telemetry/__init__.py
+++ b/redwingstream/telemetry/__init__.py
@@ -1,11 +1,14 @@
-"""Counters, levels and latency histograms of a process, as text on request.
+"""Metrics of a process: counters, gauges and histograms of durations.
+
+They are rendered in the Prometheus text format when the metrics address is
+requested.
 
 Modules
 -------
 histogram
-    Counts of durations by size.
+    Histogram of durations.
 families
-    Every family that a role shows, with its meaning.
+    All metric families, with their meaning.
 exposition
-    The text.
+    Renders samples as text.
 """
--- a/redwingstream/telemetry/exposition.py
+++ b/redwingstream/telemetry/exposition.py
@@ -1,8 +1,9 @@
-"""The families as text, in the format of Prometheus.
+"""Renders metric families in the Prometheus text format.
 
-The library is loaded with the first request and in a thread of its own: most
-processes are never asked while callers wait for them to start, and loading it
-takes more processor time than everything else that a balancer loads.
+The Prometheus client library is imported at the first request, in a thread.
+Importing it takes more processor time than everything else that a balancer
+imports, and most processes get no request for metrics while callers wait for
+them to start.
 """
 
 import asyncio
@@ -20,12 +21,12 @@
 
 
 class Exposition:
-    """Renders a process's samples.
+    """Renders the metrics of a process.
 
     Parameters
     ----------
     samples : callable
-        Returns the samples as of now.
+        Returns the current samples of all families.
     """
 
     def __init__(self, samples: SampleSource) -> None:
@@ -33,10 +34,10 @@
         self._library: Any = None
 
     async def render(self) -> bytes:
-        """Return the text."""
+        """Return the current metrics in the Prometheus text format."""
         if self._library is None:
             loop = asyncio.get_running_loop()
-            self._library = await loop.run_in_executor(None, _load)
+            self._library = await loop.run_in_executor(None, _load_library)
         registry = self._library.CollectorRegistry(auto_describe=False)
         registry.register(_Collector(self._library, self._samples))
         text: bytes = self._library.generate_latest(registry)
@@ -44,21 +45,23 @@
 
 
 class _Collector:
+    """Converts samples to metric families of the Prometheus client library."""
+
     def __init__(self, library: Any, samples: SampleSource) -> None:
         self._core = library.core
         self._samples = samples
 
     def collect(self) -> Iterator[Any]:
-        """Yield the families as the library wants them."""
-        return map(self._family, self._samples())
+        """Yield the metric families; the library calls this method."""
+        return map(self._build_family, self._samples())
 
-    def _family(self, sample: Sample) -> Any:
+    def _build_family(self, sample: Sample) -> Any:
         name = f'{PREFIX}{sample.family.name}'
         meaning = sample.family.meaning
         if sample.histogram is not None:
             family = self._core.HistogramMetricFamily(name, meaning)
             family.add_metric(
-                (), sample.histogram.cumulative(), sample.histogram.total
+                (), sample.histogram.cumulative_counts(), sample.histogram.total
             )
             return family
         kind = self._core.GaugeMetricFamily
@@ -70,9 +73,9 @@
         return family
 
 
-def _load() -> Any:
-    # The programs of the platform run without this module; the library needs
-    # it to be there.
+def _load_library() -> Any:
+    # The programs in platform/ set the entry of ssl in sys.modules to None, so
+    # that it is not imported.  The client library needs the module.
     if sys.modules.get('ssl', sys) is None:
         sys.modules.pop('ssl')
     library = importlib.import_module('prometheus_client')
--- a/redwingstream/telemetry/families.py
+++ b/redwingstream/telemetry/families.py
@@ -1,6 +1,6 @@
-"""Every family that a role shows, with its meaning.
+"""All metric families that processes export, with their meaning.
 
-``docs/metrics.md`` is checked against this module.
+A test checks that ``docs/metrics.md`` agrees with this module.
 """
 
 import enum
@@ -11,7 +11,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What kind of family it is."""
+    """Type of a metric family, as Prometheus names it."""
 
     COUNTER = 'counter'
     GAUGE = 'gauge'
@@ -20,16 +20,16 @@
 
 @attrs.frozen
 class Family:
-    """A family of series.
+    """A metric family: all series under one metric name.
 
     Parameters
     ----------
     name : str
-        Without the prefix ``redwingstream_``.
+        Name of the metric, without the prefix ``redwingstream_``.
     kind : Kind
-        What it is.
+        Type of the metric.
     meaning : str
-        For operators.
+        Help text for operators.
     """
 
     name: str
@@ -39,17 +39,17 @@
 
 @attrs.frozen
 class Sample:
-    """A family's numbers now.
+    """The current values of a metric family.
 
     Parameters
     ----------
     family : Family
-        Which one.
-    level_by_label : dict
-        A number for each label ``what``; one with the empty label where the
-        family has no parts.
+        The family.
+    value_by_label : dict
+        Value of each series by its label ``what``; the label is empty if the
+        family has a single series.  Empty for a histogram.
     histogram : Histogram or None
-        For a histogram.
+        The histogram, if the family is one.
     """
 
     family: Family
@@ -154,12 +154,25 @@
     SYNC_SECONDS,
     CHANGE_SECONDS,
 )
-"""All families, in the order of the page."""
+"""All families, in the order of ``docs/metrics.md``."""
 
 
 def counters_sample(family: Family, *counters: object) -> Sample:
-    """Return a sample of the fields of ``attrs`` counters, by their names."""
-    level_by_label: dict[str, float] = {}
-    for one in counters:
-        level_by_label.update(attrs.asdict(one))
-    return Sample(family, level_by_label)
+    """Return a sample with one series for each field of the counters.
+
+    Parameters
+    ----------
+    family : Family
+        The family of the sample.
+    counters
+        Instances of ``attrs`` classes; the labels are their field names.
+
+    Returns
+    -------
+    Sample
+        The current values.
+    """
+    value_by_label: dict[str, float] = {}
+    for counter_set in counters:
+        value_by_label.update(attrs.asdict(counter_set))
+    return Sample(family, value_by_label)
--- a/redwingstream/telemetry/histogram.py
+++ b/redwingstream/telemetry/histogram.py
@@ -1,4 +1,4 @@
-"""Counts of durations by size."""
+"""Histogram of durations, with the same bucket bounds for all metrics."""
 
 import bisect
 
@@ -17,35 +17,44 @@
     2.5,
     5.0,
 )
-"""Upper bounds in seconds: from a sync of a disk to what callers give up at."""
+"""Upper bounds of the buckets in seconds.  They range from the duration of a
+disk sync to the time after which callers give up."""
 
-INFINITE = '+Inf'
-"""Bound of what is longer than all others, as the text format names it."""
+INFINITE_BOUND = '+Inf'
+"""Upper bound of the last bucket, as the Prometheus text format writes it."""
 
 
 class Histogram:
-    """Durations counted by size; noting one costs a search among 13 bounds."""
+    """Counts of durations by bucket.
+
+    Recording a duration takes a binary search among 13 bounds.
+
+    Attributes
+    ----------
+    total : float
+        Sum of all durations in seconds.
+    """
 
     def __init__(self) -> None:
         self.total = float(0)
-        self._counts = [0 for _ in (*BOUNDS, INFINITE)]
+        self._counts = [0 for _ in (*BOUNDS, INFINITE_BOUND)]
 
     @property
     def count(self) -> int:
-        """How many durations were noted."""
+        """Number of durations recorded."""
         return sum(self._counts)
 
     def record(self, seconds: float) -> None:
-        """Count a duration."""
+        """Record a duration in seconds."""
         self.total += seconds
         self._counts[bisect.bisect_left(BOUNDS, seconds)] += 1
 
-    def cumulative(self) -> list[tuple[str, float]]:
-        """Return how many durations were at most each bound."""
-        rows = []
-        below = 0
-        bounds = (*BOUNDS, INFINITE)
+    def cumulative_counts(self) -> list[tuple[str, float]]:
+        """Return the upper bound and cumulative count of each bucket."""
+        buckets = []
+        cumulative_count = 0
+        bounds = (*BOUNDS, INFINITE_BOUND)
         for bound, count in zip(bounds, self._counts, strict=True):
-            below += count
-            rows.append((str(bound), below))
-        return rows
+            cumulative_count += count
+            buckets.append((str(bound), cumulative_count))
+        return buckets
--- a/redwingstream/telemetry/tests/test_exposition.py
+++ b/redwingstream/telemetry/tests/test_exposition.py
@@ -1,4 +1,4 @@
-"""What a process shows on its metrics address."""
+"""Metrics that a process exports at its metrics address."""
 
 from pathlib import Path
 
@@ -26,7 +26,7 @@
 
 
 class TestExposition:
-    """The text of the exposition format."""
+    """Families rendered in the Prometheus text format."""
 
     async def test_counters_have_a_series_for_each_field(self) -> None:
         text = await _render(counters_sample(PACKETS, _Counters()))
@@ -50,22 +50,22 @@
 
 
 class TestHistogram:
-    """Durations counted by size."""
+    """Counts of durations by bucket."""
 
     @pytest.mark.parametrize('bound', BOUNDS)
-    def test_a_bound_belongs_to_its_own_bucket(self, bound: float) -> None:
+    def test_a_bucket_includes_its_upper_bound(self, bound: float) -> None:
         histogram = Histogram()
         histogram.record(bound)
-        below = dict(histogram.cumulative())
-        assert below[str(bound)] == 1
+        count_by_bound = dict(histogram.cumulative_counts())
+        assert count_by_bound[str(bound)] == 1
         assert histogram.count == 1
 
 
 class TestPage:
-    """The operators' page."""
+    """The operators' page of metrics agrees with the families."""
 
-    @pytest.mark.parametrize('family', FAMILIES, ids=lambda one: one.name)
-    def test_names_every_family(self, family) -> None:
+    @pytest.mark.parametrize('family', FAMILIES, ids=lambda family: family.name)
+    def test_lists_every_family(self, family) -> None:
         row = f'| `redwingstream_{family.name}` | {family.kind} |'
         assert f'{row} {family.meaning} |' in PAGE.read_text()
 
