--- a/redwingstream/httpd/__init__.py
+++ b/redwingstream/httpd/__init__.py
@@ -1,9 +1,11 @@
-"""A small HTTP/1.1 server and its messages.
+"""A small HTTP/1.1 server for readiness, reports, operators and metrics.
 
 Modules
 -------
 messages
     Requests and responses.
+assembly
+    Builds requests from the bytes received, within size limits.
 server
-    Connections, limits and time-outs round the parser.
+    Connections, with limits and time-outs.
 """
--- a/redwingstream/httpd/assembly.py
+++ b/redwingstream/httpd/assembly.py
@@ -1,4 +1,8 @@
-"""Puts a request together from what the parser finds."""
+"""Builds requests from the bytes received on a connection.
+
+The parser of httptools calls back for each part of a request; this module
+collects the parts and enforces the size limits.
+"""
 
 from collections.abc import Callable
 
@@ -7,24 +11,34 @@
 
 from redwingstream.httpd.messages import Request
 
-MAX_BODY = 8388608
-"""Bytes of a body; 40,000 routes take less."""
+MAX_BODY_BYTES = 8388608
+"""Maximum size of a request body in bytes; 40,000 routes take less."""
 
-MAX_HEAD = 16384
-"""Bytes of a request line and its headers together."""
+MAX_HEAD_BYTES = 16384
+"""Maximum size of the request target and the headers together, in bytes."""
 
 
 class TooLargeError(Exception):
-    """The body of a request is longer than allowed."""
+    """The body of a request is larger than allowed."""
 
 
 class MalformedError(Exception):
-    """What came is no request."""
+    """The bytes received are not a valid request, or its head is too large."""
 
 
 @attrs.define
-class _Arriving:
-    """A request as far as it has arrived."""
+class _PartialRequest:
+    """A request that is not yet complete.
+
+    Parameters
+    ----------
+    target : bytes
+        The request target as far as received.
+    head_size, body_size : int
+        Bytes received of the head and of the body.
+    pieces : list of bytes
+        The body as far as received.
+    """
 
     target: bytes = b''
     head_size: int = 0
@@ -32,28 +46,38 @@
     pieces: list[bytes] = attrs.field(factory=list)
 
 
-class Assembly:
-    """Requests of one connection; the parser calls the methods ``on_...``.
+class RequestAssembler:
+    """Builds the requests of one connection.
+
+    The parser calls the methods ``on_...``.
 
     Parameters
     ----------
-    arrived : callable
-        Takes each request that has arrived whole.
+    on_request : callable
+        Called with each complete request.
     """
 
-    def __init__(self, arrived: Callable[[Request], None]) -> None:
-        self._arrived = arrived
-        self._arriving = _Arriving()
+    def __init__(self, on_request: Callable[[Request], None]) -> None:
+        self._on_request = on_request
+        self._partial = _PartialRequest()
         self._is_too_large = False
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, piece: bytes) -> None:
-        """Take what has come.
+        """Parse bytes received on the connection.
+
+        Parameters
+        ----------
+        piece : bytes
+            The bytes, which may hold parts of one or several requests.
 
         Raises
         ------
-        MalformedError, TooLargeError
-            When the connection cannot go on.
+        MalformedError
+            If the bytes are not a valid request or the head is too large.
+        TooLargeError
+            If the body is too large.  After either error the connection
+            cannot be used any more.
         """
         try:
             self._parser.feed_data(piece)
@@ -62,37 +86,40 @@
             httptools.HttpParserUpgrade,
         ) as error:
             raise MalformedError(str(error)) from error
-        if self._arriving.body_size > MAX_BODY:
-            raise TooLargeError(f'body of more than {MAX_BODY} bytes')
-        if self._arriving.head_size > MAX_HEAD:
-            raise MalformedError(f'head of more than {MAX_HEAD} bytes')
+        if self._partial.body_size > MAX_BODY_BYTES:
+            raise TooLargeError(f'body of more than {MAX_BODY_BYTES} bytes')
+        if self._partial.head_size > MAX_HEAD_BYTES:
+            raise MalformedError(f'head of more than {MAX_HEAD_BYTES} bytes')
 
     def on_message_begin(self) -> None:
-        """Start a request."""
-        self._arriving = _Arriving()
+        """Start a new request."""
+        self._partial = _PartialRequest()
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the target."""
-        self._arriving.target += url
-        self._arriving.head_size += len(url)
+        """Append a part of the request target."""
+        self._partial.target += url
+        self._partial.head_size += len(url)
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Count a header; none is needed here."""
-        self._arriving.head_size += len(name) + len(text)
+        """Add the size of a header; the headers themselves are not used."""
+        self._partial.head_size += len(name) + len(text)
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body."""
-        self._arriving.body_size += len(body)
-        if self._arriving.body_size <= MAX_BODY:
-            self._arriving.pieces.append(body)
+        """Append a part of the body, unless the body is too large."""
+        self._partial.body_size += len(body)
+        if self._partial.body_size <= MAX_BODY_BYTES:
+            self._partial.pieces.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand the request over."""
-        arriving = self._arriving
-        if arriving.body_size > MAX_BODY or arriving.head_size > MAX_HEAD:
+        """Pass on the complete request, unless it is too large."""
+        partial = self._partial
+        if (
+            partial.body_size > MAX_BODY_BYTES
+            or partial.head_size > MAX_HEAD_BYTES
+        ):
             return
         method = self._parser.get_method().decode('ascii', 'replace')
-        target = arriving.target.decode('ascii', 'replace')
+        target = partial.target.decode('ascii', 'replace')
         path = target.partition('?')[0]
-        self._arrived(Request(method, path, b''.join(arriving.pieces)))
-        self._arriving = _Arriving()
+        self._on_request(Request(method, path, b''.join(partial.pieces)))
+        self._partial = _PartialRequest()
--- a/redwingstream/httpd/messages.py
+++ b/redwingstream/httpd/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses."""
+"""HTTP requests and responses, and how a response is encoded."""
 
 from types import MappingProxyType
 
@@ -34,16 +34,16 @@
 
 @attrs.frozen
 class Request:
-    """A request that has arrived whole.
+    """A complete request.
 
     Parameters
     ----------
     method : str
-        In capitals.
+        The method in upper case.
     path : str
-        Without the query.
+        The path of the request target, without the query.
     body : bytes
-        Empty when there is none.
+        The body; empty if there is none.
     """
 
     method: str
@@ -53,20 +53,20 @@
 
 @attrs.frozen
 class Response:
-    """What is answered.
+    """The response to a request.
 
     Parameters
     ----------
     status : int
-        One of the constants of this module.
+        Status code, one of the constants of this module.
     body : bytes
-        Empty when there is none.
+        The body; empty if there is none.
     content_type : str
-        Of the body.
+        Media type of the body.
     location : str
-        Where to go instead; empty when not redirected.
+        URL that the caller is redirected to; empty without a redirect.
     retry_after : int
-        Seconds after which to come back; 0 where that is not said.
+        Seconds after which the caller may try again; 0 leaves the header out.
     """
 
     status: int
@@ -77,7 +77,20 @@
 
 
 def render(response: Response, *, keep_open: bool) -> bytes:
-    """Return the bytes of a response."""
+    """Encode a response.
+
+    Parameters
+    ----------
+    response : Response
+        The response.
+    keep_open : bool
+        Whether the connection stays open afterwards.
+
+    Returns
+    -------
+    bytes
+        The status line, the headers and the body.
+    """
     reason = REASON_BY_STATUS[response.status]
     lines = [
         f'HTTP/1.1 {response.status} {reason}',
--- a/redwingstream/httpd/server.py
+++ b/redwingstream/httpd/server.py
@@ -1,8 +1,8 @@
-"""Connections, limits and time-outs round the HTTP parser.
+"""HTTP server: accepts connections, with limits and time-outs.
 
-The parser is httptools: h11 took 56 ms of processor time to import in a trial,
-httptools 17 ms.  A process that starts beside a server has 0.6 of a core, and
-callers wait for it.
+The parser is httptools, because callers wait for a process to start and a
+process beside a backend server has 0.6 of a core: importing httptools takes
+17 ms of processor time, h11 56 ms.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 from redwingstream.endpoints import Endpoint
 from redwingstream.errors import EndpointError
 from redwingstream.httpd.assembly import (
-    Assembly,
+    RequestAssembler,
     MalformedError,
     TooLargeError,
 )
@@ -30,20 +30,34 @@
 )
 
 MAX_CONNECTIONS = 256
-"""Connections of one listening address: an operator has eight requests under
-way, and a server one heartbeat."""
+"""Maximum number of connections to one listening address.  An operator has
+eight requests in progress, and a backend server one heartbeat."""
 
-REQUEST_SECONDS = 15
-"""Time that a request may take to arrive whole, and a connection may be idle;
-longer than the longest pause of a sender that is still useful, since callers
-of this interface give up after a few seconds."""
+REQUEST_TIMEOUT_SECONDS = 15
+"""Seconds in which a request must arrive completely; also the time after which
+an idle connection is closed.  Callers of this interface give up after a few
+seconds, so a sender that pauses for longer is of no use any more."""
 
 RequestHandler = Callable[[Request], Awaitable[Response]]
 
 
 @attrs.define
 class HttpCounters:
-    """What passed one listening address."""
+    """Counts of connections and requests of one listening address.
+
+    Parameters
+    ----------
+    accepted, refused : int
+        Connections accepted, and refused because there were too many.
+    requests : int
+        Complete requests.
+    malformed : int
+        Connections closed after bytes that are not a valid request.
+    timed_out : int
+        Connections closed because no complete request arrived in time.
+    failed : int
+        Requests whose handler raised an exception.
+    """
 
     accepted: int = 0
     refused: int = 0
@@ -54,64 +68,70 @@
 
 
 class HttpConnection(asyncio.Protocol):
-    """One connection; requests are answered one after the other."""
+    """One connection; its requests are handled one after the other.
+
+    Parameters
+    ----------
+    server : HttpServer
+        The server that accepted the connection.
+    """
 
     def __init__(self, server: 'HttpServer') -> None:
         self._server = server
         self._transport: asyncio.Transport | None = None
-        self._assembly = Assembly(self._arrived)
-        self._waiting: list[Request] = []
-        self._answering: asyncio.Task[None] | None = None
+        self._assembler = RequestAssembler(self._queue_request)
+        self._pending: list[Request] = []
+        self._handling: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin, or refuse where there are too many."""
+        """Start the time-out, or refuse if there are too many connections."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        if not self._server.admit(self):
-            self._finish(Response(UNAVAILABLE, retry_after=1))
+        if not self._server.admit_connection(self):
+            self._respond_and_close(Response(UNAVAILABLE, retry_after=1))
             return
         self._restart_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection; an answer under way is not needed any more."""
-        self._server.forget(self)
+        """Remove the connection; a response in progress is discarded."""
+        self._server.remove_connection(self)
         self._transport = None
         if self._timer is not None:
             self._timer.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Take what has come."""
+        """Parse bytes received; close the connection if they are invalid."""
         try:
-            self._assembly.feed(data)
+            self._assembler.feed(data)
         except MalformedError:
             self._server.counters.malformed += 1
-            self._finish(Response(BAD_REQUEST))
+            self._respond_and_close(Response(BAD_REQUEST))
         except TooLargeError:
-            self._finish(Response(CONTENT_TOO_LARGE))
+            self._respond_and_close(Response(CONTENT_TOO_LARGE))
 
     def close(self) -> None:
         """Close the connection."""
         if self._transport is not None:
             self._transport.close()
 
-    def _arrived(self, request: Request) -> None:
-        self._waiting.append(request)
-        if self._answering is None:
-            self._answering = asyncio.ensure_future(self._answer_all())
+    def _queue_request(self, request: Request) -> None:
+        self._pending.append(request)
+        if self._handling is None:
+            self._handling = asyncio.ensure_future(self._handle_pending())
 
-    async def _answer_all(self) -> None:
-        while self._waiting and self._transport is not None:
-            response = await self._server.answer(self._waiting.pop(0))
+    async def _handle_pending(self) -> None:
+        while self._pending and self._transport is not None:
+            response = await self._server.handle_request(self._pending.pop(0))
             self._write(response, keep_open=True)
             self._restart_timer()
-        self._answering = None
+        self._handling = None
 
     def _write(self, response: Response, *, keep_open: bool) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(render(response, keep_open=keep_open))
 
-    def _finish(self, response: Response) -> None:
+    def _respond_and_close(self, response: Response) -> None:
         self._write(response, keep_open=False)
         self.close()
 
@@ -119,40 +139,48 @@
         if self._timer is not None:
             self._timer.cancel()
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(REQUEST_SECONDS, self._time_out)
+        self._timer = loop.call_later(
+            REQUEST_TIMEOUT_SECONDS, self._handle_timeout
+        )
 
-    def _time_out(self) -> None:
-        if self._answering is not None:
+    def _handle_timeout(self) -> None:
+        if self._handling is not None:
             return
         self._server.counters.timed_out += 1
-        self._finish(Response(REQUEST_TIMEOUT))
+        self._respond_and_close(Response(REQUEST_TIMEOUT))
 
 
 class HttpServer:
-    """Connections of one listening address.
+    """The connections of one listening address.
 
     Parameters
     ----------
-    answerer : callable
-        Answers a request.
-    failed : callable
-        Takes an exception that answering raised; the caller gets 500.
+    handler : callable
+        Returns the response to a request.
+    on_error : callable
+        Called with an exception that the handler raised; the caller gets
+        status 500.
+
+    Attributes
+    ----------
+    counters : HttpCounters
+        Counts of connections and requests.
     """
 
     def __init__(
-        self, answerer: RequestHandler, failed: Callable[[Exception], None]
+        self, handler: RequestHandler, on_error: Callable[[Exception], None]
     ) -> None:
         self.counters = HttpCounters()
-        self._answerer = answerer
-        self._failed = failed
+        self._handler = handler
+        self._on_error = on_error
         self._connections: set[HttpConnection] = set()
 
     def make_connection(self) -> HttpConnection:
         """Return the protocol for a new connection."""
         return HttpConnection(self)
 
-    def admit(self, connection: HttpConnection) -> bool:
-        """Count a new connection; return False when there are too many."""
+    def admit_connection(self, connection: HttpConnection) -> bool:
+        """Add a new connection; return False if there are too many."""
         if len(self._connections) >= MAX_CONNECTIONS:
             self.counters.refused += 1
             return False
@@ -160,8 +188,8 @@
         self._connections.add(connection)
         return True
 
-    def forget(self, connection: HttpConnection) -> None:
-        """Take note that a connection is gone."""
+    def remove_connection(self, connection: HttpConnection) -> None:
+        """Remove a connection that is closed."""
         self._connections.discard(connection)
 
     def close(self) -> None:
@@ -169,46 +197,46 @@
         for connection in tuple(self._connections):
             connection.close()
 
-    async def answer(self, request: Request) -> Response:
-        """Answer one request."""
+    async def handle_request(self, request: Request) -> Response:
+        """Return the response to a request; status 500 if the handler fails."""
         self.counters.requests += 1
         try:
-            return await self._answerer(request)
+            return await self._handler(request)
         except Exception as error:  # reported; the caller gets 500
             self.counters.failed += 1
-            self._failed(error)
+            self._on_error(error)
             return Response(INTERNAL_ERROR)
 
 
 @contextlib.asynccontextmanager
 async def serve_http(
     endpoint: Endpoint,
-    answerer: RequestHandler,
-    failed: Callable[[Exception], None],
+    handler: RequestHandler,
+    on_error: Callable[[Exception], None],
 ) -> AsyncIterator[HttpServer]:
-    """Listen on an address, and close everything at the end.
+    """Serve HTTP on an address; close all connections on exit.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Where to listen.
-    answerer, failed
+        Address to listen on.
+    handler, on_error
         As in :class:`HttpServer`.
 
     Yields
     ------
     HttpServer
-        The server.
+        The running server.
 
     Raises
     ------
     EndpointError
-        When the address cannot be bound.
+        If the address cannot be bound.
     """
-    server = HttpServer(answerer, failed)
+    server = HttpServer(handler, on_error)
     loop = asyncio.get_running_loop()
     try:
-        listening = await loop.create_server(
+        listener = await loop.create_server(
             server.make_connection,
             endpoint.host,
             endpoint.port,
@@ -222,5 +250,5 @@
     try:
         yield server
     finally:
-        listening.close()
+        listener.close()
         server.close()
--- a/redwingstream/httpd/tests/test_assembly.py
+++ b/redwingstream/httpd/tests/test_assembly.py
@@ -1,45 +1,47 @@
-"""Requests put together from any bytes."""
+"""Requests built from valid, split and damaged input."""
 
 import random
 
 import pytest
 
 from redwingstream.httpd.assembly import (
-    Assembly,
+    RequestAssembler,
     MalformedError,
     TooLargeError,
 )
 from redwingstream.httpd.messages import Request
 
-COUNT = 100_000
-WHOLE = (
+INPUT_COUNT = 100_000
+VALID_REQUEST = (
     b'POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 13\r\n\r\n{"version":1}'
 )
 
 
 class TestAnyInput:
-    """Random and mutated bytes."""
-
-    def test_are_requests_or_refused(self) -> None:
-        chance = random.Random(6)
-        arrived: list[Request] = []
-        refused = 0
-        for _ in range(COUNT):
-            mutated = bytearray(WHOLE)
-            for _ in range(chance.randrange(3)):
-                mutated[chance.randrange(len(mutated))] = chance.randrange(256)
+    """Requests with random bytes changed, and requests in two parts."""
+
+    def test_mutated_bytes_are_parsed_or_rejected(self) -> None:
+        generator = random.Random(6)
+        requests: list[Request] = []
+        rejected = 0
+        for _ in range(INPUT_COUNT):
+            mutated = bytearray(VALID_REQUEST)
+            for _ in range(generator.randrange(3)):
+                mutated[generator.randrange(len(mutated))] = (
+                    generator.randrange(256)
+                )
             try:
-                Assembly(arrived.append).feed(bytes(mutated))
+                RequestAssembler(requests.append).feed(bytes(mutated))
             except (MalformedError, TooLargeError):
-                refused += 1
-        assert refused > 0
-        assert len(arrived) > COUNT / 4
-
-    @pytest.mark.parametrize('cut', range(1, len(WHOLE)))
-    def test_in_two_pieces_anywhere(self, cut) -> None:
-        arrived: list[Request] = []
-        assembly = Assembly(arrived.append)
-        assembly.feed(WHOLE[:cut])
-        assert not arrived
-        assembly.feed(WHOLE[cut:])
-        assert arrived == [Request('POST', '/x', b'{"version":1}')]
+                rejected += 1
+        assert rejected > 0
+        assert len(requests) > INPUT_COUNT / 4
+
+    @pytest.mark.parametrize('cut', range(1, len(VALID_REQUEST)))
+    def test_request_split_at_any_byte(self, cut) -> None:
+        requests: list[Request] = []
+        assembler = RequestAssembler(requests.append)
+        assembler.feed(VALID_REQUEST[:cut])
+        assert not requests
+        assembler.feed(VALID_REQUEST[cut:])
+        assert requests == [Request('POST', '/x', b'{"version":1}')]
