--- a/redwingstream/__init__.py
+++ b/redwingstream/__init__.py
@@ -1,14 +1,14 @@
 """A layer-4 load balancer that keeps established flows through planned changes.
 
-The names here are the nouns that users of the package meet first: the rows of
-the operators' tables, endpoints, and errors with their result codes.  The
-processes are started as ``redwingstreamd`` (:mod:`redwingstream.daemon`) and
-``redwingstream`` (:mod:`redwingstream.operators.tool`).
+The public names are the rows of the operators' tables, endpoints, and the base
+class of errors with their result codes.  The processes are started as
+``redwingstreamd`` (:mod:`redwingstream.daemon`) and ``redwingstream``
+(:mod:`redwingstream.operators.tool`).
 
 Notes
 -----
-Every process pays for what is imported here, so nothing that brings sockets,
-CoAP or the command line may stand in this module.
+Every process of the system imports this module, so it must not import large
+libraries, such as those for sockets, CoAP or the command line.
 """
 
 from redwingstream.endpoints import Endpoint
--- a/redwingstream/daemon.py
+++ b/redwingstream/daemon.py
@@ -1,9 +1,9 @@
-"""The daemon ``redwingstreamd``: one process, one role.
+"""Command line of the daemon ``redwingstreamd``, which runs one role.
 
-This module reads and checks the command line.  Then the process replaces itself
-by :mod:`redwingstream.running` (``execve``; no other process is started): the
-command-line library takes 6 MB, more than a tenth of what a node may spend for
-control, and is of no use after the start.
+This module reads and checks the command line.  The process then replaces itself
+by :mod:`redwingstream.running` with ``execve``, without starting another
+process.  The command-line library takes 6 MB, more than a tenth of the memory
+that a node may use for control, and is not needed after the start.
 """
 
 import os
@@ -28,12 +28,18 @@
 
 
 class _RoleCommand(Command):
-    """Checks the settings of a role and becomes it."""
+    """Checks the settings of a role and then runs the role.
+
+    Attributes
+    ----------
+    settings_class : type
+        Class of the settings of the role.
+    """
 
     settings_class: type[CommonSettings]
 
     def handle(self) -> int:
-        """Become the role; return a result code when the settings are bad."""
+        """Run the role; return a result code only if a setting is invalid."""
         flags = flag_values(self, self.settings_class)
         try:
             settings = read_settings(self.settings_class, flags, os.environ)
@@ -41,19 +47,28 @@
         except RedwingstreamError as error:
             self.line_error(f'redwingstreamd: {error}')
             return int(error.code)
-        _become(str(self.name), flags)
+        _exec_role(str(self.name), flags)
+
 
+def _exec_role(role: str, flags: Mapping[str, str | None]) -> Any:
+    """Replace this process by one that runs a role; does not return.
 
-def _become(role: str, flags: Mapping[str, str | None]) -> Any:
-    """Replace this process by one that runs a role; it does not return."""
+    Parameters
+    ----------
+    role : str
+        Name of the role.
+    flags : mapping
+        Text of each flag by name, None where the flag is not given.
+    """
     environment = dict(os.environ)
     for flag, text in flags.items():
         if text is not None:
             environment[variable_name(flag.replace('-', '_'))] = text
-    # The flags stand there for whoever lists processes; they are not read.
-    shown = sys.argv[2:]
+    # The flags are repeated so that a list of processes shows them.  The new
+    # process reads its settings from the environment.
+    shown_flags = sys.argv[2:]
     module = 'redwingstream.running'
-    command_line = (sys.executable, '-m', module, role, *shown)
+    command_line = (sys.executable, '-m', module, role, *shown_flags)
     sys.stdout.flush()
     sys.stderr.flush()
     os.execve(sys.executable, command_line, environment)
--- a/redwingstream/endpoints.py
+++ b/redwingstream/endpoints.py
@@ -1,4 +1,4 @@
-"""Where a process, a caller or a service is reached: an IP and a port."""
+"""Endpoints: IP address and port of a process, a caller or a service."""
 
 import functools
 import ipaddress
@@ -9,7 +9,7 @@
 
 MAX_PORT = 65535
 _PORT_DIGITS = len(str(MAX_PORT))
-_CACHED_ENDPOINTS = 65536
+_MAX_CACHED_ENDPOINTS = 65536
 
 
 @attrs.frozen(order=True)
@@ -19,43 +19,43 @@
     Parameters
     ----------
     host : str
-        IPv4 or IPv6 address in its usual text form; never a name.
+        IPv4 or IPv6 address in its usual text form; never a host name.
     port : int
-        0 to 65535; a socket that is bound to 0 takes a free one.
+        0 to 65535; a socket that is bound to port 0 gets a free port.
     """
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Return ``host:port``, with brackets round an IPv6 address."""
+        """Return ``host:port``, with brackets around an IPv6 address."""
         if ':' in self.host:
             return f'[{self.host}]:{self.port}'
         return f'{self.host}:{self.port}'
 
     def as_pair(self) -> tuple[str, int]:
-        """Return the form that the socket calls take."""
+        """Return the address and port as socket functions expect them."""
         return (self.host, self.port)
 
 
-@functools.lru_cache(maxsize=_CACHED_ENDPOINTS)
+@functools.lru_cache(maxsize=_MAX_CACHED_ENDPOINTS)
 def parse_endpoint(text: str) -> Endpoint:
-    """Read ``host:port`` or ``[host]:port``.
+    """Parse ``host:port`` or ``[host]:port``.
 
     Parameters
     ----------
     text : str
-        For instance ``127.0.0.1:5683`` or ``[::1]:5683``.
+        For example ``127.0.0.1:5683`` or ``[::1]:5683``.
 
     Returns
     -------
     Endpoint
-        The endpoint read.
+        The endpoint.
 
     Raises
     ------
     SettingError
-        When the host is no IP address or the port is out of range.
+        If the host is not an IP address or the port is out of range.
 
     Examples
     --------
@@ -80,18 +80,28 @@
 
 
 def parse_reachable(text: str) -> Endpoint:
-    """Read an endpoint at which other processes reach this one.
+    """Parse an endpoint at which other processes reach this one.
 
-    Notes
-    -----
-    An address that stands for all of a host's own, or port 0, is good for a
-    socket.  To another process it is the other process's own host, so that
-    what it sends there comes back to itself.
+    Parameters
+    ----------
+    text : str
+        As for :func:`parse_endpoint`.
+
+    Returns
+    -------
+    Endpoint
+        The endpoint.
 
     Raises
     ------
     SettingError
-        Also when the address is unspecified or the port is 0.
+        Also if the address is unspecified or the port is 0.
+
+    Notes
+    -----
+    A socket can be bound to the unspecified address (0.0.0.0 or ``::``) or to
+    port 0, but other processes cannot send to it: for them the unspecified
+    address means their own host, so that what they send comes back to them.
     """
     endpoint = parse_endpoint(text)
     if ipaddress.ip_address(endpoint.host).is_unspecified or not endpoint.port:
@@ -103,6 +113,7 @@
 
 
 def _is_port(text: str) -> bool:
-    # Python refuses to read a number of thousands of digits.
+    # The length is checked first, as int() raises an error for a text of
+    # thousands of digits.
     is_short = len(text) <= _PORT_DIGITS
     return is_short and text.isdecimal() and int(text) <= MAX_PORT
--- a/redwingstream/errors.py
+++ b/redwingstream/errors.py
@@ -1,8 +1,8 @@
 """Numbered result codes and the exceptions that carry them.
 
-Every process exits with one of these codes, every refusal that an operator or
-a peer sees names one, and ``docs/result-codes.md`` lists them all.  A test
-checks that the page and this module agree.
+Every process exits with one of these codes, and every refusal that an operator
+or a peer receives gives one.  A test checks that ``docs/result-codes.md`` lists
+all codes of this module.
 """
 
 import enum
@@ -13,9 +13,9 @@
 
     Notes
     -----
-    Numbers are part of the interface: they are never reused.  0 to 19 concern
-    a process, 20 to 39 operators' changes, 40 to 59 callers' traffic, 60 to 79
-    what passes between processes, 80 to 99 durable state.
+    Numbers are part of the public interface and are never reused.  0 to 19
+    concern a process, 20 to 39 operators' changes, 40 to 59 callers' traffic,
+    60 to 79 messages between processes, 80 to 99 durable state.
     """
 
     OK = 0
@@ -60,14 +60,14 @@
 
 
 class RedwingstreamError(Exception):
-    """Base of every error that this package raises on purpose.
+    """Base class of all errors that this package raises deliberately.
 
     Parameters
     ----------
     message : str
-        What was met, what is allowed and the way out.
+        What was found, what is allowed and how to resolve the error.
     code : ResultCode, optional
-        The numbered result; each subclass has a default.
+        The result code; each subclass has a default.
     """
 
     default_code = ResultCode.INTERNAL
@@ -84,30 +84,30 @@
 
 
 class EndpointError(RedwingstreamError):
-    """An endpoint of this process that cannot be bound."""
+    """An endpoint of this process cannot be bound."""
 
     default_code = ResultCode.ADDRESS_IN_USE
 
 
 class WireError(RedwingstreamError):
-    """A frame that cannot be taken: malformed, unauthentic or replayed."""
+    """A frame is rejected: malformed, not authentic or replayed."""
 
     default_code = ResultCode.MALFORMED
 
 
 class CallFailedError(RedwingstreamError):
-    """A call to another process that got no answer or a refusal."""
+    """A call to another process got no answer or was refused."""
 
     default_code = ResultCode.TIMED_OUT
 
 
 class ChangeRefusedError(RedwingstreamError):
-    """An operators' change that was not accepted."""
+    """A change by an operator was not accepted."""
 
     default_code = ResultCode.CONFLICT
 
 
 class StorageError(RedwingstreamError):
-    """Durable state that cannot be read or written."""
+    """Durable state cannot be read or written."""
 
     default_code = ResultCode.DISK_FAILED
--- a/redwingstream/keyfile.py
+++ b/redwingstream/keyfile.py
@@ -1,4 +1,4 @@
-"""The key under which processes and operators authenticate each other."""
+"""Reads the shared key by which processes and operators authenticate."""
 
 import os
 import pathlib
@@ -7,16 +7,16 @@
 from redwingstream.errors import ResultCode, SettingError
 from redwingstream.wire.frames import KEY_SIZE_MAX, KEY_SIZE_MIN
 
-_MAX_READ = 4096
+_MAX_READ_BYTES = 4096
 
 
 def read_key_file(path: pathlib.Path) -> bytes:
-    """Read the key from a file that only its owner can read.
+    """Read the key from a file to which only its owner has access.
 
     Parameters
     ----------
     path : pathlib.Path
-        The file; white space round the key does not count.
+        The file; white space around the key is ignored.
 
     Returns
     -------
@@ -26,20 +26,21 @@
     Raises
     ------
     SettingError
-        ``KEY_FILE_OPEN`` when group or others may read or write the file,
-        ``BAD_SETTING`` when it cannot be read or the key has a wrong length.
+        With ``KEY_FILE_OPEN`` if group or others have any access to the file,
+        with ``BAD_SETTING`` if it cannot be read or the length of the key is
+        not allowed.
 
     Notes
     -----
-    Whoever has the key can change the tables, so a key file that others can
-    read is refused instead of only logged: a warning at start-up is easily
-    missed.  The mode is read from the open file, so the file that was checked
-    is the file that is read.
+    Whoever has the key can change the tables.  A key file that others can read
+    is therefore an error and not just a warning, which is easily missed at
+    start-up.  The mode is read from the open file, so that the file checked is
+    the file read.
     """
     try:
         with path.open('rb') as key_file:
             mode = os.fstat(key_file.fileno()).st_mode
-            key = key_file.read(_MAX_READ).strip()
+            key = key_file.read(_MAX_READ_BYTES).strip()
     except OSError as error:
         raise SettingError(
             f'setting --key-file has value {str(path)!r}, which cannot be '
--- a/redwingstream/running.py
+++ b/redwingstream/running.py
@@ -1,18 +1,18 @@
-"""Runs one role of the daemon until a signal.
+"""Runs one role of the daemon until SIGTERM or SIGINT.
 
 ``redwingstreamd`` reads and checks the command line and then replaces itself by
 this module (see :mod:`redwingstream.daemon`), so that the command-line library
-takes no memory in a process that runs for months.  The settings come from the
-environment alone.
+takes no memory in a process that runs for months.  The settings are read from
+the environment only.
 
-The roles' modules are imported only for the role that runs, so that a balancer
-does not carry the memory of a control instance; this is why imports stand in
-functions here.
+The modules of a role are imported in the function that runs it, so that a
+balancer, for example, does not load the modules of a control instance, which
+would take memory.
 """
 
 import asyncio
 import contextlib
-import logging as plain_logging
+import logging as stdlib_logging
 import os
 import signal
 import sys
@@ -37,7 +37,7 @@
 
 
 async def _run_balancer(
-    settings: BalancerSettings, key: bytes, stopping: asyncio.Event
+    settings: BalancerSettings, key: bytes, stop_requested: asyncio.Event
 ) -> None:
     from redwingstream.balancer.role import (  # noqa: WPS433 - one role
         BalancerRole,
@@ -45,12 +45,12 @@
 
     balancer = BalancerRole(settings, key)
     async with balancer.opened():
-        await stopping.wait()
+        await stop_requested.wait()
         await balancer.drain()
 
 
 async def _run_agent(
-    settings: AgentSettings, key: bytes, stopping: asyncio.Event
+    settings: AgentSettings, key: bytes, stop_requested: asyncio.Event
 ) -> None:
     from redwingstream.agent.role import (  # noqa: WPS433 - one role
         AgentRole,
@@ -58,11 +58,11 @@
 
     agent = AgentRole(settings, key)
     async with agent.opened():
-        await stopping.wait()
+        await stop_requested.wait()
         await agent.drain()
 
 
-def _as_control_settings(
+def _make_control_settings(
     control_class: type[Any], settings: ControlRoleSettings, key: bytes
 ) -> Any:
     return control_class(
@@ -76,57 +76,59 @@
 
 
 async def _recover(
-    settings: RecoverySettings, key: bytes, stopping: asyncio.Event
+    settings: RecoverySettings, key: bytes, stop_requested: asyncio.Event
 ) -> None:
     from redwingstream.control.recovery import (  # noqa: WPS433 - one role
         ControlSettings,
         recover_single_replica,
     )
 
-    control_settings = _as_control_settings(ControlSettings, settings, key)
+    control_settings = _make_control_settings(ControlSettings, settings, key)
     recover_single_replica(control_settings, settings.lose_changes_after)
 
 
 async def _run_control(
-    settings: ControlRoleSettings, key: bytes, stopping: asyncio.Event
+    settings: ControlRoleSettings, key: bytes, stop_requested: asyncio.Event
 ) -> None:
     from redwingstream.control.role import (  # noqa: WPS433 - one role
         ControlSettings,
         run_control,
     )
 
-    control_settings = _as_control_settings(ControlSettings, settings, key)
-    running = asyncio.create_task(run_control(control_settings))
-    waiting = asyncio.create_task(stopping.wait())
-    await asyncio.wait((running, waiting), return_when='FIRST_COMPLETED')
-    waiting.cancel()
-    running.cancel()
+    control_settings = _make_control_settings(ControlSettings, settings, key)
+    running_role = asyncio.create_task(run_control(control_settings))
+    waiting_for_stop = asyncio.create_task(stop_requested.wait())
+    await asyncio.wait(
+        (running_role, waiting_for_stop), return_when='FIRST_COMPLETED'
+    )
+    waiting_for_stop.cancel()
+    running_role.cancel()
     with contextlib.suppress(asyncio.CancelledError):
-        await running
+        await running_role
 
 
-async def _until_signal(
+async def _run_until_signal(
     run_role: RoleRunner, settings: CommonSettings, key: bytes
 ) -> None:
-    stopping = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
-    await run_role(settings, key, stopping)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    await run_role(settings, key, stop_requested)
 
 
 @attrs.frozen
 class DaemonRole:
-    """What the daemon can be.
+    """A role that the daemon can run.
 
     Parameters
     ----------
     name : str
-        Its command.
+        Command of ``redwingstreamd`` that runs the role.
     settings_class : type
-        Its settings.
+        Class of the settings of the role.
     run : callable
-        Runs it until the event is set.
+        Runs the role with settings and key until the event is set.
     """
 
     name: str
@@ -143,26 +145,31 @@
 
 
 def run(role: DaemonRole) -> int:
-    """Run a role with the settings of the environment.
+    """Run a role with the settings from the environment.
+
+    Parameters
+    ----------
+    role : DaemonRole
+        The role.
 
     Returns
     -------
     int
-        The :class:`~redwingstream.errors.ResultCode` to exit with.
+        The exit code, one of :class:`~redwingstream.errors.ResultCode`.
     """
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
-    # Modules that the platform's programs load as well use the standard
-    # library's loggers, whose lines go through the same handler.
-    plain_logging.getLogger('redwingstream').setLevel(plain_logging.INFO)
+    # Modules that are also used by the programs in platform/ log through the
+    # standard library's loggers; absl's handler writes their lines as well.
+    stdlib_logging.getLogger('redwingstream').setLevel(stdlib_logging.INFO)
     try:
         settings = read_settings(role.settings_class, {}, os.environ)
         key = read_key_file(settings.key_file)
-        asyncio.run(_until_signal(role.run, settings, key))
+        asyncio.run(_run_until_signal(role.run, settings, key))
     except RedwingstreamError as error:
-        return _fail(str(error), error.code)
+        return _report_failure(str(error), error.code)
     except OSError as error:
-        return _fail(str(error), ResultCode.INTERNAL)
+        return _report_failure(str(error), ResultCode.INTERNAL)
     return int(ResultCode.OK)
 
 
@@ -172,7 +179,7 @@
     sys.exit(run(role_by_name[sys.argv[1]]))
 
 
-def _fail(text: str, code: ResultCode) -> int:
+def _report_failure(text: str, code: ResultCode) -> int:
     sys.stderr.write(f'redwingstreamd: {text}\n')
     return int(code)
 
--- a/redwingstream/tests/test_keyfile.py
+++ b/redwingstream/tests/test_keyfile.py
@@ -1,4 +1,4 @@
-"""Tests of reading the key file."""
+"""Reading the key file, and errors of its mode and length."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def key_path(tmp_path):
-    """A key file as it should be."""
+    """A valid key file."""
     path = tmp_path / 'key'
     path.write_bytes(b''.join((KEY, b'\n')))
     path.chmod(0o600)
@@ -22,7 +22,7 @@
         assert read_key_file(key_path) == KEY
 
     @pytest.mark.parametrize('mode', [0o640, 0o604, 0o620, 0o602, 0o777])
-    def test_refuses_what_others_can_read(self, key_path, mode):
+    def test_refuses_files_that_others_can_access(self, key_path, mode):
         key_path.chmod(mode)
         with pytest.raises(SettingError, match='chmod 600') as caught:
             read_key_file(key_path)
@@ -35,6 +35,6 @@
             read_key_file(key_path)
         assert caught.value.code is ResultCode.BAD_SETTING
 
-    def test_names_a_missing_file(self, tmp_path):
+    def test_error_names_a_missing_file(self, tmp_path):
         with pytest.raises(SettingError, match='no-such-key'):
             read_key_file(tmp_path / 'no-such-key')
--- a/redwingstream/tests/test_namespace.py
+++ b/redwingstream/tests/test_namespace.py
@@ -1,4 +1,4 @@
-"""Tests of the package's public namespace."""
+"""The public namespace of the package and the cost of importing it."""
 
 import pathlib
 import subprocess
@@ -7,14 +7,14 @@
 
 import redwingstream
 
-PROJECT = pathlib.Path(__file__).parents[2] / 'pyproject.toml'
-HEAVY = ('aiocoap', 'asyncio', 'cleo', 'msgspec', 'pynng', 'statsd')
+PROJECT_FILE = pathlib.Path(__file__).parents[2] / 'pyproject.toml'
+LARGE_LIBRARIES = ('aiocoap', 'asyncio', 'cleo', 'msgspec', 'pynng', 'statsd')
 
 
 class TestNamespace:
-    """What ``import redwingstream`` gives, and what it costs."""
+    """Names that ``import redwingstream`` gives, and modules that it loads."""
 
-    def test_every_public_name_is_there(self):
+    def test_every_public_name_exists(self):
         """Each name of ``__all__`` is an attribute of the package."""
         missing = [
             name
@@ -23,26 +23,26 @@
         ]
         assert missing == []
 
-    def test_version_is_the_project_s(self):
-        """The version stands in two files; they agree."""
-        project = tomllib.loads(PROJECT.read_text())['project']
+    def test_version_agrees_with_project_file(self):
+        """The versions in the package and in ``pyproject.toml`` agree."""
+        project = tomllib.loads(PROJECT_FILE.read_text())['project']
         assert redwingstream.__version__ == project['version']
 
     def test_import_is_light(self):
-        """A daemon whose role needs no calls has grown by megabytes.
+        """Importing the package loads no large library.
 
-        Somebody has added a convenient name to the public namespace, and the
-        module that defines it imports a large library.  Every process of the
-        system imports the namespace, whatever its role.
+        Every process of the system imports the package, whatever its role.  A
+        public name whose module imports a large library makes all of them
+        larger by megabytes, also those that do not use the library.
         """
-        listing = 'import redwingstream, sys; print(*sys.modules)'
+        list_modules = 'import redwingstream, sys; print(*sys.modules)'
         finished = subprocess.run(
-            [sys.executable, '-c', listing],
+            [sys.executable, '-c', list_modules],
             check=True,
             capture_output=True,
             text=True,
-            cwd=PROJECT.parent,
+            cwd=PROJECT_FILE.parent,
         )
         loaded = set(finished.stdout.split())
         assert 'redwingstream.errors' in loaded
-        assert loaded.isdisjoint(HEAVY)
+        assert loaded.isdisjoint(LARGE_LIBRARIES)
--- a/redwingstream/tests/test_result_codes.py
+++ b/redwingstream/tests/test_result_codes.py
@@ -1,4 +1,4 @@
-"""The page of result codes and the module of errors agree."""
+"""The page of result codes agrees with :mod:`redwingstream.errors`."""
 
 import pathlib
 import re
@@ -9,20 +9,20 @@
 ROW = re.compile(r'^\| (\d+) \| (\w+) \| ([^|]+) \| ([^|]+) \|$', re.MULTILINE)
 
 
-def rows():
+def listed_codes():
     return ROW.findall(PAGE.read_text())
 
 
 class TestResultCodesPage:
-    def test_lists_every_code_once_and_no_other(self):
-        listed = [(int(number), name) for number, name, _, _ in rows()]
+    def test_lists_every_code_exactly_once(self):
+        listed = [(int(number), name) for number, name, _, _ in listed_codes()]
         assert listed == [(code.value, code.name) for code in ResultCode]
 
-    def test_says_meaning_and_way_out(self):
-        short = [
+    def test_gives_meaning_and_remedy(self):
+        incomplete = [
             name
-            for _, name, meaning, way_out in rows()
+            for _, name, meaning, remedy in listed_codes()
             if not meaning.strip().endswith('.')
-            or not way_out.strip().endswith('.')
+            or not remedy.strip().endswith('.')
         ]
-        assert not short
+        assert not incomplete
