--- a/redwingstream/telemetry/exposition.py
+++ b/redwingstream/telemetry/exposition.py
@@ -68,8 +68,8 @@
         if sample.family.kind is Kind.COUNTER:
             kind = self._core.CounterMetricFamily
         family = kind(name, meaning, labels=(LABEL,))
-        for label, level in sample.value_by_label.items():
-            family.add_metric((label,), level)
+        for label, value in sample.value_by_label.items():
+            family.add_metric((label,), value)
         return family
 
 
