--- a/redwingstream/agent/feed_openings.py
+++ b/redwingstream/agent/feed_openings.py
@@ -63,7 +63,7 @@
 
         Parameters
         ----------
-        source : FeedSource
+        source : RegistrationId
             The feed.
         response : Message, optional
             The response that ended it; None when the server did not answer.
