--- a/redwingstream/wire/calls.py
+++ b/redwingstream/wire/calls.py
@@ -327,7 +327,7 @@
         request = codec.open(frame).payload
     except WireError:
         # An unauthenticated caller gets no answer, so that it does not learn
-        # that anything listens here.
+        # whether its request arrived.
         return None
     try:
         return codec.seal(await handler(request))
