--- a/asv_bench/admission_overload.py
+++ b/asv_bench/admission_overload.py
@@ -20,12 +20,12 @@
 
 from asv_bench.admission_servers import SERVICE, SLOTS, Run, Server
 from asv_bench.tables import markdown_table
-from redwingstream.admission.peer_choice import PeerLoads
-from redwingstream.admission.retry_delays import RetryDelays, OverloadGauge
 from redwingstream.admission.concurrency_limit import (
     ConcurrencyLimit,
     RunResult,
 )
+from redwingstream.admission.peer_choice import PeerLoads
+from redwingstream.admission.retry_delays import OverloadGauge, RetryDelays
 from redwingstream.errors import ResultCode
 from redwingstream.forwarding.messages import LoadReport
 
--- a/asv_bench/fleets.py
+++ b/asv_bench/fleets.py
@@ -12,8 +12,8 @@
     SetRoute,
     SetZone,
 )
-from redwingstream.tables.machine.state_machine import StateMachine
 from redwingstream.tables.machine.messages import AdmitMember, SettleView
+from redwingstream.tables.machine.state_machine import StateMachine
 from redwingstream.tables.rows import Pool, Role, Route, ZoneMark
 from redwingstream.wire import messages
 
--- a/asv_bench/packet_decisions.py
+++ b/asv_bench/packet_decisions.py
@@ -13,13 +13,13 @@
 from asv_bench import fitting, output
 from redwingstream.directory.messages import Readiness
 from redwingstream.directory.view import Agent, AgentView
-from redwingstream.packets.bounded_table import BoundedTable
-from redwingstream.packets.envelopes import Envelope, Kind
-from redwingstream.packets.flow import Address, address_of
 from redwingstream.packets.balancer_forwarder import (
     MAX_HINTS,
     BalancerForwarder,
 )
+from redwingstream.packets.bounded_table import BoundedTable
+from redwingstream.packets.envelopes import Envelope, Kind
+from redwingstream.packets.flow import Address, address_of
 from redwingstream.packets.tests.codec import OPENING, PlainCodec
 from redwingstream.packets.tests.codec import Packet as PlainPacket
 from redwingstream.tables.rows import Pool, Route
--- a/asv_bench/packet_forwarding.py
+++ b/asv_bench/packet_forwarding.py
@@ -18,9 +18,12 @@
 from redwingstream.directory.view import AgentView
 from redwingstream.endpoints import Endpoint
 from redwingstream.fleet.packet_sender import PacketSender
-from redwingstream.openings.gate import Gate
 from redwingstream.openings.cold_limit import ColdLimit
+from redwingstream.openings.gate import Gate
+from redwingstream.packets.agent_context import AgentContext, AgentLocation
+from redwingstream.packets.agent_flows import AgentFlows, CarriedFlow, FlowState
 from redwingstream.packets.agent_forwarder import AgentForwarder
+from redwingstream.packets.balancer_forwarder import BalancerForwarder
 from redwingstream.packets.envelopes import (
     Envelope,
     Kind,
@@ -28,9 +31,6 @@
     unpack_envelope,
 )
 from redwingstream.packets.flow import PacketCodec, address_of
-from redwingstream.packets.agent_flows import CarriedFlow, AgentFlows, FlowState
-from redwingstream.packets.agent_context import AgentLocation, AgentContext
-from redwingstream.packets.balancer_forwarder import BalancerForwarder
 from redwingstream.tables.rows import Pool, Route
 from redwingstream.tables.snapshot import Tables
 from redwingstream.wire.datagrams import BATCH, DatagramSocket, Receiver
--- a/asv_bench/placement_ways.py
+++ b/asv_bench/placement_ways.py
@@ -26,9 +26,9 @@
     Network,
     flow,
     member,
-    view_with_pair,
     started,
     view,
+    view_with_pair,
 )
 from redwingstream.tables.rows import PoolView
 
--- a/properties/test_admission.py
+++ b/properties/test_admission.py
@@ -12,11 +12,11 @@
 )
 
 from properties.seeds import seed_of
-from redwingstream.admission.feed_limit import COLD_FEEDS, FeedLimit
 from redwingstream.admission.concurrency_limit import (
     ConcurrencyLimit,
     RunResult,
 )
+from redwingstream.admission.feed_limit import COLD_FEEDS, FeedLimit
 from redwingstream.admission.tests.fake_server import FakeServer
 
 
--- a/properties/test_placement.py
+++ b/properties/test_placement.py
@@ -11,10 +11,10 @@
     BUCKETS,
     ZONE_BY_HOST,
     Cluster,
-    run_without_faults,
     catch_up,
     deliver_all,
     heal_all,
+    run_without_faults,
 )
 
 KEY_COUNT = 4
--- a/redwingstream/agent/assembly.py
+++ b/redwingstream/agent/assembly.py
@@ -1,23 +1,23 @@
 """Creates and connects the objects that handle the messages of an agent."""
 
-from redwingstream.agent.incoming_assignments import IncomingAssignments
-from redwingstream.agent.outgoing_assignments import OutgoingAssignments
-from redwingstream.agent.request_executor import RequestExecutor
+from redwingstream.agent.ack_relay import AckRelay
 from redwingstream.agent.feed_checks import FeedChecks
 from redwingstream.agent.feed_moves import FeedMoves
 from redwingstream.agent.feeds import FeedRelay
 from redwingstream.agent.flow_placement import FlowPlacement
+from redwingstream.agent.incoming_assignments import IncomingAssignments
+from redwingstream.agent.keeper_effects import KeeperEffectHandler
+from redwingstream.agent.non_idempotent import NonIdempotentRequests
+from redwingstream.agent.outgoing_assignments import OutgoingAssignments
 from redwingstream.agent.packet_dispatcher import (
     PacketDispatcher,
     RequestHandlers,
 )
-from redwingstream.agent.keeper_effects import KeeperEffectHandler
-from redwingstream.agent.non_idempotent import NonIdempotentRequests
 from redwingstream.agent.parts import AgentParts
-from redwingstream.agent.ack_relay import AckRelay
 from redwingstream.agent.replies import Replies
 from redwingstream.agent.reports import PeerReports
 from redwingstream.agent.request_endings import RequestEndings
+from redwingstream.agent.request_executor import RequestExecutor
 from redwingstream.agent.runs import RunEnd
 from redwingstream.agent.server_effects import ServerEffectHandler
 
--- a/redwingstream/agent/feed_moves.py
+++ b/redwingstream/agent/feed_moves.py
@@ -13,9 +13,9 @@
 
 import attrs
 
-from redwingstream.agent.outgoing_assignments import OutgoingAssignments
 from redwingstream.agent.effects import PerformKeeperEffects
 from redwingstream.agent.feeds import FeedRelay
+from redwingstream.agent.outgoing_assignments import OutgoingAssignments
 from redwingstream.agent.parts import AgentParts
 from redwingstream.errors import ResultCode
 from redwingstream.flows.records import FlowKey, FlowRecord
--- a/redwingstream/agent/feed_openings.py
+++ b/redwingstream/agent/feed_openings.py
@@ -5,7 +5,7 @@
 from redwingstream.admission.concurrency_limit import RunResult
 from redwingstream.agent.effects import PerformServerEffects
 from redwingstream.agent.parts import AgentParts
-from redwingstream.flows.effects import RegistrationId, OpenFeed
+from redwingstream.flows.effects import OpenFeed, RegistrationId
 from redwingstream.wire import coap
 
 UNSERVED_FEED_TIMEOUT = 2.0
--- a/redwingstream/agent/feeds.py
+++ b/redwingstream/agent/feeds.py
@@ -19,8 +19,8 @@
     CloseFeed,
     FeedClosed,
     FeedEffect,
-    RegistrationId,
     GenerationWanted,
+    RegistrationId,
     SendToCaller,
 )
 from redwingstream.flows.records import FlowKey, FlowRecord
--- a/redwingstream/agent/keeper_effects.py
+++ b/redwingstream/agent/keeper_effects.py
@@ -7,8 +7,8 @@
 from redwingstream.agent.feed_checks import FeedChecks
 from redwingstream.agent.feed_moves import FeedMoves
 from redwingstream.agent.flow_placement import FlowPlacement
-from redwingstream.agent.packet_dispatcher import PacketDispatcher
 from redwingstream.agent.non_idempotent import NonIdempotentRequests
+from redwingstream.agent.packet_dispatcher import PacketDispatcher
 from redwingstream.agent.parts import AgentParts
 from redwingstream.errors import ResultCode
 from redwingstream.placement.effects import (
--- a/redwingstream/agent/server_effects.py
+++ b/redwingstream/agent/server_effects.py
@@ -4,9 +4,9 @@
 the exchanges with the backend server without I/O and returns effects.
 """
 
-from redwingstream.agent.request_executor import RequestExecutor
 from redwingstream.agent.feeds import FeedRelay
 from redwingstream.agent.parts import AgentParts
+from redwingstream.agent.request_executor import RequestExecutor
 from redwingstream.flows.effects import (
     Failed,
     FeedEnded,
--- a/redwingstream/balancer/tests/test_role.py
+++ b/redwingstream/balancer/tests/test_role.py
@@ -19,8 +19,8 @@
 from redwingstream.forwarding.messages import Answer, Packet
 from redwingstream.membership.messages import ProbeAck
 from redwingstream.node.tests.test_member import (
-    UNREACHABLE,
     TEST_TIMEOUT,
+    UNREACHABLE,
     UPDATE,
     free_endpoint,
     member_at,
--- a/redwingstream/control/recovery.py
+++ b/redwingstream/control/recovery.py
@@ -10,8 +10,8 @@
 from redwingstream.storage.disk import open_folder
 from redwingstream.storage.folder import Folder
 from redwingstream.storage.store import LoadedState, ReplicaStore
-from redwingstream.tables.machine.state_machine import StateMachine
 from redwingstream.tables.machine.state import MachineState
+from redwingstream.tables.machine.state_machine import StateMachine
 from redwingstream.tables.machine.views import MAX_UNSETTLED_VIEWS, unknown_view
 from redwingstream.tables.rows import EarlierView, PoolView
 
--- a/redwingstream/control/replica.py
+++ b/redwingstream/control/replica.py
@@ -25,8 +25,8 @@
 )
 from redwingstream.storage.store import LoadedState, ReplicaStore
 from redwingstream.tables.machine.state_machine import (
-    StateMachine,
     CommandResult,
+    StateMachine,
 )
 from redwingstream.wire import messages
 
--- a/redwingstream/control/tests/test_recovery.py
+++ b/redwingstream/control/tests/test_recovery.py
@@ -21,8 +21,8 @@
     SetPool,
     SetZone,
 )
-from redwingstream.tables.machine.state_machine import StateMachine
 from redwingstream.tables.machine.messages import AdmitMember
+from redwingstream.tables.machine.state_machine import StateMachine
 from redwingstream.tables.rows import Pool, Role, ZoneMark
 from redwingstream.wire import messages
 
--- a/redwingstream/fleet/replication.py
+++ b/redwingstream/fleet/replication.py
@@ -7,8 +7,8 @@
 from redwingstream.consensus import events
 from redwingstream.consensus.messages import ReplicaMessage, Voter
 from redwingstream.consensus.state import GroupPolicy
-from redwingstream.control.replica_factory import open_replica
 from redwingstream.control.replica import Replica, ReplicaEnvironment
+from redwingstream.control.replica_factory import open_replica
 from redwingstream.directory.messages import ReplicaName
 from redwingstream.endpoints import parse_endpoint
 from redwingstream.errors import (
--- a/redwingstream/httpd/server.py
+++ b/redwingstream/httpd/server.py
@@ -14,8 +14,8 @@
 from redwingstream.endpoints import Endpoint
 from redwingstream.errors import EndpointError
 from redwingstream.httpd.assembly import (
-    RequestAssembler,
     MalformedError,
+    RequestAssembler,
     TooLargeError,
 )
 from redwingstream.httpd.messages import (
--- a/redwingstream/httpd/tests/test_assembly.py
+++ b/redwingstream/httpd/tests/test_assembly.py
@@ -5,8 +5,8 @@
 import pytest
 
 from redwingstream.httpd.assembly import (
-    RequestAssembler,
     MalformedError,
+    RequestAssembler,
     TooLargeError,
 )
 from redwingstream.httpd.messages import Request
--- a/redwingstream/membership/tests/test_peers.py
+++ b/redwingstream/membership/tests/test_peers.py
@@ -4,9 +4,9 @@
 
 from redwingstream.endpoints import Endpoint
 from redwingstream.membership.peers import (
-    UNUSED_TIMEOUT,
     PROBE_AFTER,
     SILENT_AFTER,
+    UNUSED_TIMEOUT,
     PeerLinks,
 )
 
--- a/redwingstream/node/member.py
+++ b/redwingstream/node/member.py
@@ -31,9 +31,9 @@
     Probe,
     ProbeAck,
 )
-from redwingstream.node.tables_follower import TablesFollower
 from redwingstream.node.guard import count_errors
 from redwingstream.node.metrics import Metrics
+from redwingstream.node.tables_follower import TablesFollower
 from redwingstream.settings.roles import MemberSettings
 from redwingstream.tables.messages import FetchTables
 from redwingstream.wire.calls import (
--- a/redwingstream/node/tests/test_tables_follower.py
+++ b/redwingstream/node/tests/test_tables_follower.py
@@ -6,12 +6,12 @@
 
 from redwingstream.endpoints import Endpoint
 from redwingstream.errors import CallFailedError, ResultCode
+from redwingstream.node.metrics import Metrics
 from redwingstream.node.tables_follower import (
     HEDGE_AFTER,
     MAX_FETCHES,
     TablesFollower,
 )
-from redwingstream.node.metrics import Metrics
 from redwingstream.tables.messages import FetchTables, TablesUpdate
 from redwingstream.tables.rows import ZoneMark
 from redwingstream.wire.calls import DEFAULT_TIMEOUT
--- a/redwingstream/packets/agent_context.py
+++ b/redwingstream/packets/agent_context.py
@@ -6,8 +6,8 @@
 import attrs
 
 from redwingstream.directory.view import Agent, AgentView
-from redwingstream.openings.wait_estimate import longest_wait
 from redwingstream.openings.gate import Gate, Load
+from redwingstream.openings.wait_estimate import longest_wait
 from redwingstream.packets.agent_flows import AgentFlows
 from redwingstream.packets.effects import ToPeer, peer_datagram
 from redwingstream.packets.envelopes import (
--- a/redwingstream/packets/tests/network.py
+++ b/redwingstream/packets/tests/network.py
@@ -14,8 +14,8 @@
 
 from redwingstream.directory.messages import Readiness
 from redwingstream.directory.view import Agent, AgentView
-from redwingstream.openings.gate import Gate, PoolRules
 from redwingstream.openings.cold_limit import ColdLimit
+from redwingstream.openings.gate import Gate, PoolRules
 from redwingstream.openings.reports import ServerReport
 from redwingstream.packets.agent_context import AgentContext, AgentLocation
 from redwingstream.packets.agent_flows import AgentFlows
--- a/redwingstream/placement/keeper.py
+++ b/redwingstream/placement/keeper.py
@@ -8,7 +8,6 @@
 import itertools
 
 from redwingstream.errors import ResultCode
-from redwingstream.placement.home_bucket import HomeBucket, HomeAssignment
 from redwingstream.placement.effects import (
     BucketStatus,
     Effect,
@@ -19,6 +18,7 @@
     Send,
 )
 from redwingstream.placement.fence import BucketStore, FencedBucket
+from redwingstream.placement.home_bucket import HomeAssignment, HomeBucket
 from redwingstream.placement.messages import (
     BucketContents,
     BucketGiven,
--- a/redwingstream/placement/tests/test_recording.py
+++ b/redwingstream/placement/tests/test_recording.py
@@ -16,8 +16,8 @@
     Network,
     flow,
     member,
-    view_with_pair,
     started,
+    view_with_pair,
 )
 
 HOST_A, HOST_B, HOST_C = (
--- a/redwingstream/placement/tests/test_takeover.py
+++ b/redwingstream/placement/tests/test_takeover.py
@@ -26,8 +26,8 @@
     Network,
     flow,
     member,
-    view_with_pair,
     started,
+    view_with_pair,
 )
 from redwingstream.tables.rows import EarlierView
 
--- a/redwingstream/tables/machine/state_machine.py
+++ b/redwingstream/tables/machine/state_machine.py
@@ -6,7 +6,6 @@
     ChangeRequest,
 )
 from redwingstream.tables.machine.changes import apply_change
-from redwingstream.tables.machine.recent_changes import RecentChanges
 from redwingstream.tables.machine.members import (
     admit_member,
     leave_member,
@@ -20,6 +19,7 @@
     SettleView,
     StageReplacement,
 )
+from redwingstream.tables.machine.recent_changes import RecentChanges
 from redwingstream.tables.machine.replacements import (
     mark_zone,
     stage_replacement,
--- a/redwingstream/tables/tests/test_machine.py
+++ b/redwingstream/tables/tests/test_machine.py
@@ -20,15 +20,15 @@
     SetZone,
 )
 from redwingstream.tables.history import TablesHistory
-from redwingstream.tables.machine.recent_changes import RecentChanges
-from redwingstream.tables.machine.state_machine import StateMachine
 from redwingstream.tables.machine.messages import (
     AdmitMember,
     LeaveMember,
     RemoveMember,
     SettleView,
 )
+from redwingstream.tables.machine.recent_changes import RecentChanges
 from redwingstream.tables.machine.state import MAX_ANSWERS, MachineState
+from redwingstream.tables.machine.state_machine import StateMachine
 from redwingstream.tables.machine.views import (
     MAX_UNSETTLED_VIEWS,
     exclusion_reason,
